--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -6,10 +6,10 @@
 import typing
 
 from limpetroute.dispatch import order_dialect
+from limpetroute.routing import pool_sizing
 from limpetroute.routing import runner_info
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import stage_split
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
@@ -129,7 +129,7 @@
             if one.runner_id in self._ordered_s
         ]
         gone_s = gone_s or {}
-        change = stage_split.next_change(
+        change = pool_sizing.next_change(
             runners,
             engine=service.engine,
             changing=changing,
@@ -140,8 +140,8 @@
             self._wanted_s.pop(service.name, None)
             return
         wanted_s = self._wanted_s.setdefault(service.name, now_s)
-        writers = stage_split.writers_after(change, runners, gone_s=gone_s)
-        if now_s - wanted_s < stage_split.wait_s(change, writers):
+        writers = pool_sizing.writers_after(change, runners, gone_s=gone_s)
+        if now_s - wanted_s < pool_sizing.wait_s(change, writers):
             return
         target = next(
             one for one in runners if one.runner_id == change.runner_id
@@ -250,7 +250,7 @@
     async def _order(
         self,
         target: runner_info.RunnerInfo,
-        change: stage_split.StageChange,
+        change: pool_sizing.StageChange,
         rates: stage_rates.StageRates | None,
     ) -> None:
         order = self._dialect.stage_order(
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -9,6 +9,7 @@
 from limpetroute.routing import forecast
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import placement
+from limpetroute.routing import pool_sizing
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
 from limpetroute.routing import room_probe
@@ -17,7 +18,6 @@
 from limpetroute.routing import runner_limits
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import stage_split
 from limpetroute.routing import usual_size
 from limpetroute.routing import wait_estimate
 from limpetroute.routing import waiting_queue
@@ -432,7 +432,7 @@
         Slots alone would let hundreds wait for memory until they are
         overdue, where a few dozen can be placed in time.
         """
-        each = stage_split.streams_at_once(self._engine, self.rates)
+        each = pool_sizing.streams_at_once(self._engine, self.rates)
         return len(self._fleet.decoders) * each
 
     def _reject(
--- a/tests/routing/test_stage_split.py
+++ b/tests/routing/test_pool_sizing.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 import pytest
 
+from limpetroute.routing import pool_sizing
 from limpetroute.routing import reading_pause
 from limpetroute.routing import runner_info
 from limpetroute.routing import stage_rates
-from limpetroute.routing import stage_split
 from limpetroute.routing import stream_scheduler
 from tests.routing import builders
 
@@ -23,7 +23,7 @@
 
 
 def next_change(runners, changing=(), engine=builders.ENGINE):
-    return stage_split.next_change(runners, engine=engine, changing=changing)
+    return pool_sizing.next_change(runners, engine=engine, changing=changing)
 
 
 # Prompts and answers of 5,000 tokens, in twelve places.
@@ -58,7 +58,7 @@
     [(0, 0), (1, 0), (2, 1), (3, 1), (4, 1), (6, 2), (11, 3), (24, 7)],
 )
 def test_wanted_readers_of_long_answers(runners, readers):
-    got = stage_split.wanted_prefill(runners, builders.ENGINE, LONG_ANSWERS)
+    got = pool_sizing.wanted_prefill(runners, builders.ENGINE, LONG_ANSWERS)
     assert got == readers
 
 
@@ -73,7 +73,7 @@
     eight: prompts waited for them, and half of a burst came late or was
     refused, while a third of the writers' memory stood empty.
     """
-    got = stage_split.wanted_prefill(runners, STILL_ENGINE, STILL)
+    got = pool_sizing.wanted_prefill(runners, STILL_ENGINE, STILL)
     assert got == readers
 
 
@@ -83,15 +83,15 @@
     monkeypatch, runners, rates
 ):
     """The leader spent two thirds of its time on the split of a pool."""
-    plain = stage_split.streams_per_s
+    plain = pool_sizing.streams_per_s
     tried = []
 
     def counted(readers, writers, **rest):
         tried.append(readers)
         return plain(readers, writers, **rest)
 
-    monkeypatch.setattr(stage_split, 'streams_per_s', counted)
-    got = stage_split.wanted_prefill(runners, builders.ENGINE, rates)
+    monkeypatch.setattr(pool_sizing, 'streams_per_s', counted)
+    got = pool_sizing.wanted_prefill(runners, builders.ENGINE, rates)
     assert len(tried) <= 100
     best = max(
         plain(one, runners - one, engine=builders.ENGINE, rates=rates)
@@ -147,14 +147,14 @@
     stages = settle(stages, engine=engine, rates=rates)
     count = list(stages.values()).count(builders.PREFILL)
     got, best = (
-        stage_split.streams_per_s(
+        pool_sizing.streams_per_s(
             one, runners - one, engine=engine, rates=rates
         )
         for one in (
             count,
             max(
                 range(runners),
-                key=lambda one: stage_split.streams_per_s(
+                key=lambda one: pool_sizing.streams_per_s(
                     one, runners - one, engine=engine, rates=rates
                 ),
             ),
@@ -163,7 +163,7 @@
     assert count < runners
     if rates.pace_beside_reading < reading_pause.LEAST_PACE:
         assert count
-    assert got * stage_split.WORTH_A_CHANGE >= best * 0.999
+    assert got * pool_sizing.WORTH_A_CHANGE >= best * 0.999
 
 
 @pytest.mark.parametrize('readers', [0, 1, 2, 3])
@@ -191,7 +191,7 @@
 def settle(stages, *, engine, rates):
     """Carry changes out until none is wanted, and return the stages."""
     for _ in range(2 * len(stages)):
-        change = stage_split.next_change(
+        change = pool_sizing.next_change(
             [builders.make_runner(*one) for one in stages.items()],
             engine=engine,
             changing=(),
@@ -215,7 +215,7 @@
     runners += [builders.make_runner(name) for name in 'bcd']
     for n in range(3):
         scheduler.ask(builders.make_ask(f's{n}', output_tokens=1500), 0.0)
-        change = stage_split.next_change(
+        change = pool_sizing.next_change(
             runners, engine=SMALL, changing=(), rates=scheduler.rates
         )
         assert change is None
@@ -229,7 +229,7 @@
     runners = [builders.make_runner(f'r{n:02}') for n in range(45)]
     changing = []
     while True:
-        change = stage_split.next_change(
+        change = pool_sizing.next_change(
             runners, engine=STILL_ENGINE, changing=changing, rates=STILL
         )
         if change is None:
@@ -295,7 +295,7 @@
 
 
 def test_three_runners_with_little_memory_keep_their_reader():
-    assert stage_split.wanted_prefill(3, SMALL, LONG_ANSWERS) == 1
+    assert pool_sizing.wanted_prefill(3, SMALL, LONG_ANSWERS) == 1
 
 
 @pytest.mark.parametrize('count', range(1, 30))
@@ -329,7 +329,7 @@
         for n in range(360)
     ]
     monkeypatch.setattr(runner_info.RunnerInfo, '__eq__', counted)
-    stage_split.next_change(
+    pool_sizing.next_change(
         runners, engine=builders.ENGINE, changing=(), rates=LONG_ANSWERS
     )
     assert len(compared) <= len(runners)
