--- a/limpetroute/bench/fleet_play.py
+++ b/limpetroute/bench/fleet_play.py
@@ -196,7 +196,7 @@
         self._by_request[caller.request_id] = caller
         written = caller.written
         most = 130 * self._shape.tokens_per_event
-        self.scheduler.ask(
+        self.scheduler.submit(
             placement.PlacementRequest(
                 request_id=caller.request_id,
                 service='model',
@@ -240,7 +240,7 @@
             return
         caller.over = True
         self.counts['left'] += 1
-        self.scheduler.withdraw(caller.request_id)
+        self.scheduler.cancel(caller.request_id)
         if caller.decode_id:
             self._engines[caller.decode_id].cancel(caller.request_id)
 
@@ -319,7 +319,7 @@
     ) -> None:
         if caller.over or caller.request_id != request_id:
             return
-        self.scheduler.read(request_id, 0, self.now_s)
+        self.scheduler.note_prefill_done(request_id, 0, self.now_s)
         self._send(caller, request_id, caller.written)
 
     def _send(
@@ -358,7 +358,7 @@
             caller.first_s = seen_s
         if caller.sent_to_runner_s is not None:
             took_s = seen_s + HOP_S - caller.sent_to_runner_s
-            self.scheduler.first_event(event.name, 0, took_s, self.now_s)
+            self.scheduler.note_first_event(event.name, 0, took_s, self.now_s)
             caller.sent_to_runner_s = None
         if caller.last_s is not None:
             pause_s = seen_s - caller.last_s
@@ -382,7 +382,7 @@
         decode_s = 0.0
         if caller.first_s is not None and caller.last_s is not None:
             decode_s = caller.last_s - caller.first_s
-        self.scheduler.end(
+        self.scheduler.release(
             placement.Release(
                 request_id=caller.request_id,
                 output_tokens=caller.written,
--- a/limpetroute/bench/scheduler_cost.py
+++ b/limpetroute/bench/scheduler_cost.py
@@ -87,11 +87,11 @@
         place = placement.Placement(
             request_id=name, decode_id=decode_id, prefill_id=''
         )
-        self.scheduler.adopt(place, _request(name), self._now_s)
+        self.scheduler.restore(place, _request(name), self._now_s)
 
     def _ask(self) -> None:
         self._asked += 1
-        self.scheduler.ask(_request(f's{self._asked}'), self._now_s)
+        self.scheduler.submit(_request(f's{self._asked}'), self._now_s)
 
     def _end(self) -> None:
         if not self._held:
@@ -102,7 +102,7 @@
             decode_s=3.4,
             whole=True,
         )
-        self.scheduler.end(end, self._now_s)
+        self.scheduler.release(end, self._now_s)
 
     def _decide(self) -> float:
         begun_s = time.perf_counter()
@@ -111,7 +111,9 @@
         for one in answers:
             if isinstance(one, placement.Placement):
                 self._held.append(one.request_id)
-                self.scheduler.read(one.request_id, 0, self._now_s)
+                self.scheduler.note_prefill_done(
+                    one.request_id, 0, self._now_s
+                )
         return took_s
 
 
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -105,12 +105,12 @@
             asyncio.get_running_loop().create_future()
         )
         self._pending[ask.request_id] = _Pending(ask=ask, future=future)
-        scheduler.ask(ask, boot_clock.now_s())
+        scheduler.submit(ask, boot_clock.now_s())
         self._request_pass(ask.service)
         try:
             return await future
         except asyncio.CancelledError:
-            scheduler.withdraw(ask.request_id)
+            scheduler.cancel(ask.request_id)
             raise
         finally:
             self._pending.pop(ask.request_id, None)
@@ -119,13 +119,15 @@
         """Forget a stream whose caller is gone."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.withdraw(request_id)
+            scheduler.cancel(request_id)
 
     def read(self, service: str, request_id: str, attempt: int) -> None:
         """Take note that a prompt was read apart."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.read(request_id, attempt, boot_clock.now_s())
+            scheduler.note_prefill_done(
+                request_id, attempt, boot_clock.now_s()
+            )
             self._request_pass(service)
 
     def first_event(
@@ -135,14 +137,14 @@
         scheduler = self._scheduler(service)
         if scheduler is not None:
             now_s = boot_clock.now_s()
-            scheduler.first_event(request_id, attempt, took_s, now_s)
+            scheduler.note_first_event(request_id, attempt, took_s, now_s)
             self._request_pass(service)
 
     def end(self, service: str, end: placement.Release) -> None:
         """Take a place back."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.end(end, boot_clock.now_s())
+            scheduler.release(end, boot_clock.now_s())
             self._request_pass(service)
 
     def take_limited(
@@ -177,7 +179,7 @@
         self._note_term()
         scheduler = self._scheduler(ask.service)
         if scheduler is not None:
-            scheduler.adopt(place, ask, boot_clock.now_s())
+            scheduler.restore(place, ask, boot_clock.now_s())
 
     async def _run(self) -> None:
         while True:
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -173,7 +173,7 @@
         self._prefill.forget_runner(runner_id)
         self._outliers.forget(runner_id)
 
-    def ask(self, ask: placement.PlacementRequest, now_s: float) -> None:
+    def submit(self, ask: placement.PlacementRequest, now_s: float) -> None:
         """Take a stream; `decide` tells what it gets.
 
         One that asks again has given its place back, and what says so
@@ -194,12 +194,12 @@
         self._waiting.add(stream, self._in_time(stream, now_s))
         self._has_new = True
 
-    def withdraw(self, request_id: str) -> None:
+    def cancel(self, request_id: str) -> None:
         """Forget a stream whose caller is gone."""
         self._waiting.remove(request_id)
         self._drop(request_id)
 
-    def first_event(
+    def note_first_event(
         self, request_id: str, attempt: int, took_s: float, now_s: float
     ) -> None:
         """Take note of the first event after a decode runner's own reading.
@@ -209,13 +209,15 @@
         self._prefill.first_event(request_id, attempt, took_s, now_s)
         self._reservations.note_first_event(request_id, now_s)
 
-    def read(self, request_id: str, attempt: int, now_s: float) -> None:
+    def note_prefill_done(
+        self, request_id: str, attempt: int, now_s: float
+    ) -> None:
         """Take note that a prompt was read apart."""
         reader_id = self._prefill.done(request_id, attempt, now_s)
         if reader_id is not None:
             self._outliers.went_well(reader_id)
 
-    def end(self, end: placement.Release, now_s: float) -> None:
+    def release(self, end: placement.Release, now_s: float) -> None:
         """Take a place back and learn from how the stream went."""
         place = self._reservations.end(end)
         self._prefill.drop(end.request_id, end.attempt)
@@ -232,7 +234,7 @@
             # be gone since.
             self._outliers.went_well(place.decode_id)
 
-    def adopt(
+    def restore(
         self,
         place: placement.Placement,
         ask: placement.PlacementRequest,
--- a/tests/routing/full_fleet.py
+++ b/tests/routing/full_fleet.py
@@ -40,7 +40,7 @@
 
     def _adopt(self, name, decode_id):
         self.held.append(name)
-        self.scheduler.adopt(
+        self.scheduler.restore(
             placement.Placement(
                 request_id=name, decode_id=decode_id, prefill_id=''
             ),
@@ -61,7 +61,7 @@
 
     def ask(self):
         self.asked += 1
-        self.scheduler.ask(self._request(f's{self.asked}'), self.now_s)
+        self.scheduler.submit(self._request(f's{self.asked}'), self.now_s)
 
     def end(self):
         end = placement.Release(
@@ -70,7 +70,7 @@
             decode_s=3.4,
             whole=True,
         )
-        self.scheduler.end(end, self.now_s)
+        self.scheduler.release(end, self.now_s)
 
     def decide(self):
         answers = self.scheduler.decide(self.runners, self.now_s)
@@ -79,5 +79,5 @@
         ]
         for one in placed:
             self.held.append(one.request_id)
-            self.scheduler.read(one.request_id, 0, self.now_s)
+            self.scheduler.note_prefill_done(one.request_id, 0, self.now_s)
         return answers
--- a/tests/routing/stream_play.py
+++ b/tests/routing/stream_play.py
@@ -86,10 +86,10 @@
     def take(self, event, now_s):
         stream = self.streams[event.name.removesuffix('-again')]
         if event.kind == 'read':
-            self.scheduler.read(event.name, 0, now_s)
+            self.scheduler.note_prefill_done(event.name, 0, now_s)
             return
         if event.kind == 'end':
-            self.scheduler.end(
+            self.scheduler.release(
                 placement.Release(
                     request_id=event.name,
                     output_tokens=stream.came_tokens,
@@ -99,7 +99,7 @@
                 now_s,
             )
             return
-        self.scheduler.ask(
+        self.scheduler.submit(
             builders.make_ask(
                 event.name,
                 prompt_tokens=stream.prompt_tokens,
--- a/tests/routing/test_runner_limits.py
+++ b/tests/routing/test_runner_limits.py
@@ -163,7 +163,7 @@
             ask = builders.make_ask(
                 f's{self.count}', prompt_tokens=500, output_tokens=300
             )
-            self.scheduler.ask(ask, now_s)
+            self.scheduler.submit(ask, now_s)
             answers = self.scheduler.decide(RUNNERS, now_s)
             for one in answers:
                 if hasattr(one, 'decode_id'):
@@ -174,8 +174,8 @@
         release = stream_scheduler.placement.Release(
             request_id=place.request_id, whole=True
         )
-        self.scheduler.read(place.request_id, 0, now_s)
-        self.scheduler.end(release, now_s)
+        self.scheduler.note_prefill_done(place.request_id, 0, now_s)
+        self.scheduler.release(release, now_s)
 
     def times_s(self, runner_id):
         return [
--- a/tests/routing/test_stream_scheduler.py
+++ b/tests/routing/test_stream_scheduler.py
@@ -59,7 +59,7 @@
 
     def read(self, now_s):
         while self.queue and self.queue[0][0] <= now_s:
-            self.scheduler.read(self.queue.pop(0)[1], 0, now_s)
+            self.scheduler.note_prefill_done(self.queue.pop(0)[1], 0, now_s)
 
 
 def places(answers):
@@ -71,12 +71,12 @@
 
 
 def tell_first_event(scheduler, place, sent_s, now_s):
-    scheduler.first_event(place.request_id, 0, now_s - sent_s, now_s)
+    scheduler.note_first_event(place.request_id, 0, now_s - sent_s, now_s)
 
 
 def test_a_stream_gets_a_reader_and_a_writer():
     scheduler = make_scheduler()
-    scheduler.ask(builders.make_ask('s'), 0.0)
+    scheduler.submit(builders.make_ask('s'), 0.0)
     (place,) = scheduler.decide(make_fleet(), 0.0)
     assert place.prefill_id == 'p'
     assert place.decode_id in ('d0', 'd1')
@@ -85,7 +85,7 @@
 def test_streams_spread_over_the_writers():
     scheduler = make_scheduler()
     for n in range(10):
-        scheduler.ask(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
     taken = [
         one.decode_id for one in places(scheduler.decide(make_fleet(), 0.0))
     ]
@@ -96,7 +96,7 @@
     """Beyond its places a runner refuses, with the prompt read in vain."""
     scheduler = make_scheduler()
     for n in range(60):
-        scheduler.ask(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
     given = places(scheduler.decide(make_fleet(), 0.0))
     assert len(given) == 2 * builders.ENGINE.slots
 
@@ -104,7 +104,7 @@
 def test_memory_binds_before_places():
     scheduler = make_scheduler()
     for n in range(60):
-        scheduler.ask(builders.make_ask(f's{n}', prompt_tokens=11_000), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', prompt_tokens=11_000), 0.0)
     given = places(scheduler.decide(make_fleet(), 0.0))
     room = builders.ENGINE.memory_tokens // 16_000
     # Reading staggers them, so one more may fit each runner.
@@ -116,7 +116,7 @@
     """Waiting for a place that cannot come in time helps nobody."""
     scheduler = make_scheduler()
     for n in range(60):
-        scheduler.ask(builders.make_ask(f's{n}', output_tokens=2000), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', output_tokens=2000), 0.0)
     answers = scheduler.decide(make_fleet(), 0.0)
     told = refusals(answers)
     late_room = round(24 * stream_scheduler.LATE_PART)
@@ -127,10 +127,10 @@
 def test_a_place_that_is_given_back_goes_to_who_waits():
     scheduler = make_scheduler()
     for n in range(25):
-        scheduler.ask(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
     first = places(scheduler.decide(make_fleet(), 0.0))
     end = placement.Release(request_id=first[0].request_id)
-    scheduler.end(end, 0.1)
+    scheduler.release(end, 0.1)
     (place,) = places(scheduler.decide(make_fleet(), 0.1))
     assert place.request_id == 's24'
 
@@ -139,13 +139,13 @@
     """Refused, it would be lost with all that was written for it."""
     scheduler = make_scheduler()
     for n in range(24):
-        scheduler.ask(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
     given = places(scheduler.decide(make_fleet(), 0.0))
-    scheduler.ask(builders.make_ask('new', output_tokens=500), 0.1)
-    scheduler.ask(
+    scheduler.submit(builders.make_ask('new', output_tokens=500), 0.1)
+    scheduler.submit(
         builders.make_ask('begun', goes_on=True, reads_prompt=False), 0.15
     )
-    scheduler.end(placement.Release(request_id=given[0].request_id), 0.2)
+    scheduler.release(placement.Release(request_id=given[0].request_id), 0.2)
     (place,) = places(scheduler.decide(make_fleet(), 0.2))
     assert place.request_id == 'begun'
 
@@ -157,15 +157,15 @@
     now_s = 0.0
     served = []
     held = []
-    scheduler.ask(builders.make_ask('late', waited_s=0.89), now_s)
+    scheduler.submit(builders.make_ask('late', waited_s=0.89), now_s)
     for n in range(200):
         now_s += 0.01
-        scheduler.ask(builders.make_ask(f's{n}', output_tokens=300), now_s)
+        scheduler.submit(builders.make_ask(f's{n}', output_tokens=300), now_s)
         for one in places(scheduler.decide(fleet, now_s)):
             served.append(one.request_id)
             held.append(one.request_id)
         if len(held) > 20:
-            scheduler.end(placement.Release(request_id=held.pop(0)), now_s)
+            scheduler.release(placement.Release(request_id=held.pop(0)), now_s)
     assert 'late' in served
 
 
@@ -180,19 +180,19 @@
         ask = builders.make_ask(
             f'h{n}', prompt_tokens=8000, output_tokens=2000
         )
-        scheduler.ask(ask, now_s)
+        scheduler.submit(ask, now_s)
     held = [one.request_id for one in places(scheduler.decide(fleet, now_s))]
-    scheduler.ask(
+    scheduler.submit(
         builders.make_ask('large', prompt_tokens=30_000, target_s=3.0), now_s
     )
     served = []
     for n in range(100):
         now_s += 0.02
         small = builders.make_ask(f's{n}', prompt_tokens=900, target_s=3.0)
-        scheduler.ask(small, now_s)
+        scheduler.submit(small, now_s)
         if held and n % 4 == 0:
             ended = held.pop(rng.randrange(len(held)))
-            scheduler.end(placement.Release(request_id=ended), now_s)
+            scheduler.release(placement.Release(request_id=ended), now_s)
         for one in places(scheduler.decide(fleet, now_s)):
             served.append(one.request_id)
             held.append(one.request_id)
@@ -211,22 +211,22 @@
     now_s = 0.0
     for n in range(100):
         now_s += 0.1
-        scheduler.ask(builders.make_ask(f's{n}'), now_s)
+        scheduler.submit(builders.make_ask(f's{n}'), now_s)
         for one in places(scheduler.decide(fleet, now_s)):
             dark = one.decode_id == 'd0'
             wasted += dark
             failed = ('d0',) if dark else ()
             end = placement.Release(request_id=one.request_id, failed=failed)
-            scheduler.end(end, now_s)
+            scheduler.release(end, now_s)
     assert wasted <= 6
 
 
 def fail_a_place(scheduler, fleet, name, now_s):
     """Have a stream fail at its reader; return its place."""
-    scheduler.ask(builders.make_ask(name, prompt_tokens=2000), now_s)
+    scheduler.submit(builders.make_ask(name, prompt_tokens=2000), now_s)
     (place,) = places(scheduler.decide(fleet, now_s))
     failed = (place.prefill_id,) if place.prefill_id else ()
-    scheduler.end(placement.Release(request_id=name, failed=failed), now_s)
+    scheduler.release(placement.Release(request_id=name, failed=failed), now_s)
     return place
 
 
@@ -236,16 +236,16 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=2)
     for n in range(4):
-        scheduler.ask(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
     given = places(scheduler.decide(fleet, 0.0))
     dark = [one for one in given if one.decode_id == 'd0']
     for one in dark[:-1]:
         end = placement.Release(request_id=one.request_id, failed=('d0',))
-        scheduler.end(end, 0.5)
+        scheduler.release(end, 0.5)
     left = placement.Release(request_id=dark[-1].request_id)
-    scheduler.end(left, 0.6)
+    scheduler.release(left, 0.6)
     for n in range(4):
-        scheduler.ask(builders.make_ask(f'r{n}'), 0.7)
+        scheduler.submit(builders.make_ask(f'r{n}'), 0.7)
     again = places(scheduler.decide(fleet, 0.7))
     assert [one for one in again if one.decode_id == 'd0'] == []
 
@@ -272,11 +272,11 @@
     """
     scheduler = make_scheduler()
     fleet = make_fleet(writers=2, readers=1)
-    scheduler.ask(builders.make_ask('old'), 8.0)
+    scheduler.submit(builders.make_ask('old'), 8.0)
     assert places(scheduler.decide(fleet, 8.0))
-    scheduler.read('old', 0, 8.1)
+    scheduler.note_prefill_done('old', 0, 8.1)
     fail_a_place(scheduler, fleet, 's0', 10.0)
-    scheduler.end(placement.Release(request_id='old', whole=True), 10.0)
+    scheduler.release(placement.Release(request_id='old', whole=True), 10.0)
     fail_a_place(scheduler, fleet, 's1', 10.0)
     assert not fail_a_place(scheduler, fleet, 's2', 10.5).prefill_id
 
@@ -286,10 +286,10 @@
     fleet = make_fleet(writers=2, readers=1)
     for n in range(2):
         fail_a_place(scheduler, fleet, f's{n}', 10.0)
-    scheduler.ask(builders.make_ask('probe', prompt_tokens=2000), 11.5)
+    scheduler.submit(builders.make_ask('probe', prompt_tokens=2000), 11.5)
     (probe,) = places(scheduler.decide(fleet, 11.5))
     assert probe.prefill_id
-    scheduler.read('probe', 0, 11.6)
+    scheduler.note_prefill_done('probe', 0, 11.6)
     for n in range(2, 4):
         assert fail_a_place(scheduler, fleet, f's{n}', 11.7).prefill_id
 
@@ -299,9 +299,9 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=2, readers=1)
     for n in range(2):
-        scheduler.ask(builders.make_ask(f's{n}'), 10.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 10.0)
         scheduler.decide(fleet, 10.0)
-    scheduler.end(placement.Release(request_id='s0', failed=('p',)), 10.0)
+    scheduler.release(placement.Release(request_id='s0', failed=('p',)), 10.0)
     assert fail_a_place(scheduler, fleet, 's3', 10.1).prefill_id
 
 
@@ -309,13 +309,13 @@
     """Hosts cut off from the leader fill a runner, unseen here."""
     scheduler = make_scheduler()
     fleet = make_fleet(writers=1)
-    scheduler.ask(builders.make_ask('one'), 0.0)
+    scheduler.submit(builders.make_ask('one'), 0.0)
     (place,) = scheduler.decide(fleet, 0.0)
     full = (place.decode_id,)
-    scheduler.end(placement.Release(request_id='one', full=full), 0.0)
-    scheduler.ask(builders.make_ask('two'), 0.1)
+    scheduler.release(placement.Release(request_id='one', full=full), 0.0)
+    scheduler.submit(builders.make_ask('two'), 0.1)
     assert not places(scheduler.decide(fleet, 0.1))
-    scheduler.ask(builders.make_ask('three'), 2.0)
+    scheduler.submit(builders.make_ask('three'), 2.0)
     assert places(scheduler.decide(fleet, 2.0))
 
 
@@ -323,9 +323,9 @@
     scheduler = make_scheduler()
     for n in range(24):
         ask = builders.make_ask(f's{n}', output_tokens=500, patience_s=2.0)
-        scheduler.ask(ask, 0.0)
+        scheduler.submit(ask, 0.0)
     scheduler.decide(make_fleet(), 0.0)
-    scheduler.ask(builders.make_ask('next'), 3.5)
+    scheduler.submit(builders.make_ask('next'), 3.5)
     assert places(scheduler.decide(make_fleet(), 3.5))
 
 
@@ -337,8 +337,8 @@
         place = placement.Placement(
             request_id=ask.request_id, decode_id='d0', prefill_id='p'
         )
-        scheduler.adopt(place, ask, 0.0)
-    scheduler.ask(builders.make_ask('new'), 0.1)
+        scheduler.restore(place, ask, 0.0)
+    scheduler.submit(builders.make_ask('new'), 0.1)
     assert not places(scheduler.decide(fleet, 0.1))
 
 
@@ -347,7 +347,7 @@
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(4):
-        scheduler.ask(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
     (first,) = places(scheduler.decide(fleet, 0.0))
     assert not places(scheduler.decide(fleet, 0.1))
     tell_first_event(scheduler, first, 0.0, 0.2)
@@ -360,7 +360,7 @@
     fleet = [builders.make_runner('d0')]
     for n in range(2):
         ask = builders.make_ask(f's{n}', output_tokens=500, target_s=9.0)
-        scheduler.ask(ask, 0.0)
+        scheduler.submit(ask, 0.0)
     (first,) = places(scheduler.decide(fleet, 0.0))
     for now_s in (0.35, 0.6, 0.9):
         assert not places(scheduler.decide(fleet, now_s))
@@ -375,14 +375,14 @@
     fleet = [builders.make_runner('d0')]
     for n in range(2):
         ask = builders.make_ask(f's{n}', output_tokens=500, target_s=9.0)
-        scheduler.ask(ask, 0.0)
+        scheduler.submit(ask, 0.0)
     assert places(scheduler.decide(fleet, 0.0))
     assert places(scheduler.decide(fleet, 1.6))
 
 
 def test_with_no_writer_all_are_told_at_once():
     scheduler = make_scheduler()
-    scheduler.ask(builders.make_ask('s'), 0.0)
+    scheduler.submit(builders.make_ask('s'), 0.0)
     assert refusals(scheduler.decide([], 0.0))
 
 
@@ -397,13 +397,13 @@
     now_s = 0.0
     for n in range(6):
         short = builders.make_ask(f's{n}', prompt_tokens=2000)
-        scheduler.ask(short, now_s)
+        scheduler.submit(short, now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.09)
         now_s += 0.4
-    scheduler.ask(builders.make_ask('long', prompt_tokens=11_000), now_s)
+    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), now_s)
     assert not places(scheduler.decide(fleet, now_s))
-    scheduler.ask(builders.make_ask('short', prompt_tokens=2000), now_s)
+    scheduler.submit(builders.make_ask('short', prompt_tokens=2000), now_s)
     assert places(scheduler.decide(fleet, now_s))
 
 
@@ -413,7 +413,7 @@
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
     for n in range(6):
-        scheduler.ask(builders.make_ask(f's{n}', prompt_tokens=2000), now_s)
+        scheduler.submit(builders.make_ask(f's{n}', prompt_tokens=2000), now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.09)
         now_s += 0.4
@@ -431,18 +431,18 @@
         long = builders.make_ask(
             f'long{n}', prompt_tokens=11_000, target_s=20.0
         )
-        scheduler.ask(long, now_s)
+        scheduler.submit(long, now_s)
     scheduler.decide(fleet, now_s)
     now_s += 0.4
     short = builders.make_ask('short', prompt_tokens=2000, target_s=30.0)
-    scheduler.ask(short, now_s)
+    scheduler.submit(short, now_s)
     assert places(scheduler.decide(fleet, now_s))
 
 
 def test_a_long_prompt_that_no_writer_can_read_is_told_at_once():
     """It could be read once all but three streams have ended, in 3 s."""
     scheduler, fleet, now_s = busy_lone_writer()
-    scheduler.ask(builders.make_ask('long', prompt_tokens=11_000), now_s)
+    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), now_s)
     assert [
         one.request_id for one in refusals(scheduler.decide(fleet, now_s))
     ] == ['long']
@@ -451,7 +451,7 @@
 def test_a_long_prompt_is_read_by_a_writer_that_has_little_to_do():
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
-    scheduler.ask(builders.make_ask('long', prompt_tokens=11_000), 0.0)
+    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), 0.0)
     assert places(scheduler.decide(fleet, 0.0))
 
 
@@ -462,7 +462,7 @@
     now_s = 0.0
     for n in range(count):
         ask = builders.make_ask(f's{n}', prompt_tokens=2000, **fields)
-        scheduler.ask(ask, now_s)
+        scheduler.submit(ask, now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.09)
         now_s += 0.4
@@ -473,7 +473,7 @@
 # anyway, such as those resumed after an outage.
 def test_a_long_prompt_is_read_beside_streams_that_are_late_already():
     scheduler, fleet, now_s = lone_writer_with(6, goes_on=True)
-    scheduler.ask(builders.make_ask('long', prompt_tokens=11_000), now_s)
+    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), now_s)
     assert places(scheduler.decide(fleet, now_s))
 
 
@@ -481,7 +481,7 @@
 def test_a_long_prompt_does_not_make_three_streams_late():
     scheduler, fleet, now_s = lone_writer_with(3)
     long = builders.make_ask('long', prompt_tokens=11_000, target_s=9.0)
-    scheduler.ask(long, now_s)
+    scheduler.submit(long, now_s)
     assert not places(scheduler.decide(fleet, now_s))
 
 
@@ -489,7 +489,7 @@
 def test_a_late_stream_makes_none_late():
     scheduler, fleet, now_s = lone_writer_with(1)
     late = builders.make_ask('late', prompt_tokens=11_000, waited_s=0.7)
-    scheduler.ask(late, now_s)
+    scheduler.submit(late, now_s)
     assert not places(scheduler.decide(fleet, now_s))
 
 
@@ -501,7 +501,7 @@
         builders.make_runner('d1', zone='b'),
     ]
     for n in range(6):
-        scheduler.ask(builders.make_ask(f's{n}', zone='ab'[n % 2]), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', zone='ab'[n % 2]), 0.0)
     taken = {
         one.request_id: one.decode_id
         for one in places(scheduler.decide(fleet, 0.0))
@@ -514,7 +514,7 @@
     fleet = make_fleet(writers=0)
     fleet += [builders.make_runner(f'd{n}', zone=f'z{n}') for n in range(2)]
     for n in range(16):
-        scheduler.ask(builders.make_ask(f's{n}', zone='z0'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}', zone='z0'), 0.0)
     taken = [one.decode_id for one in places(scheduler.decide(fleet, 0.0))]
     assert 6 <= taken.count('d1') <= 8
 
@@ -532,7 +532,7 @@
         ask = builders.make_ask(
             f's{n}', prompt_tokens=3000, output_tokens=8000
         )
-        scheduler.ask(ask, 0.0)
+        scheduler.submit(ask, 0.0)
     served = []
     for step in range(18):
         answers = scheduler.decide(fleet, step * 0.05)
@@ -555,18 +555,18 @@
     fleet = make_fleet(writers=1)
     for n in range(60):
         ask = builders.make_ask(f's{n}', prompt_id=f'p{n}')
-        scheduler.ask(ask, 0.0)
+        scheduler.submit(ask, 0.0)
     answers = scheduler.decide(fleet, 0.0)
     held = [one.request_id for one in places(answers)]
     told = [one.request_id for one in refusals(answers)]
     for name in told:
         ask = builders.make_ask(f'again-{name}', prompt_id=f'p{name[1:]}')
-        scheduler.ask(ask, 2.0)
+        scheduler.submit(ask, 2.0)
     for n in range(6):
         ask = builders.make_ask(f'new{n}', prompt_id=f'q{n}')
-        scheduler.ask(ask, 2.0)
+        scheduler.submit(ask, 2.0)
     for name in held[:6]:
-        scheduler.end(placement.Release(request_id=name), 2.0)
+        scheduler.release(placement.Release(request_id=name), 2.0)
     given = [one.request_id for one in places(scheduler.decide(fleet, 2.0))]
     # One place in eight goes to a late one.
     assert sum(name.startswith('new') for name in given) >= 5
@@ -577,13 +577,13 @@
     fleet = make_fleet(writers=1)
     for n in range(40):
         ask = builders.make_ask(f's{n}', prompt_id=f'p{n}')
-        scheduler.ask(ask, 0.0)
+        scheduler.submit(ask, 0.0)
     answers = scheduler.decide(fleet, 0.0)
     for one in places(answers):
-        scheduler.end(placement.Release(request_id=one.request_id), 3.0)
+        scheduler.release(placement.Release(request_id=one.request_id), 3.0)
     back = refusals(answers)[0].request_id
     ask = builders.make_ask('again', prompt_id=f'p{back[1:]}')
-    scheduler.ask(ask, 3.0)
+    scheduler.submit(ask, 3.0)
     given = [one.request_id for one in places(scheduler.decide(fleet, 3.0))]
     assert 'again' in given
 
@@ -593,16 +593,16 @@
     engine = dataclasses.replace(builders.ENGINE, slots=4)
     scheduler = stream_scheduler.StreamScheduler(engine=engine)
     fleet = make_fleet(writers=0)
-    scheduler.ask(builders.make_ask('a', prompt_id='p'), 0.0)
+    scheduler.submit(builders.make_ask('a', prompt_id='p'), 0.0)
     assert refusals(scheduler.decide(fleet, 0.0))
     fleet = make_fleet(writers=1)
     for n in range(3):
-        scheduler.ask(builders.make_ask(f'x{n}'), 1.0)
+        scheduler.submit(builders.make_ask(f'x{n}'), 1.0)
     assert len(places(scheduler.decide(fleet, 1.0))) == 3
-    scheduler.ask(
+    scheduler.submit(
         builders.make_ask('b', prompt_id='p', prompt_tokens=900), 1.0
     )
-    scheduler.ask(builders.make_ask('late', waited_s=0.89), 1.0)
+    scheduler.submit(builders.make_ask('late', waited_s=0.89), 1.0)
     (place,) = places(scheduler.decide(fleet, 1.0))
     assert place.request_id == 'b'
 
@@ -630,7 +630,7 @@
             name = f's{step}'
             ask = builders.make_ask(name, output_tokens=said)
             running[name] = (None, came)
-            scheduler.ask(ask, now_s)
+            scheduler.submit(ask, now_s)
         for one in scheduler.decide(fleet, now_s):
             if isinstance(one, placement.Rejection):
                 del running[one.request_id]
@@ -651,7 +651,7 @@
                 decode_s=came / 1300,
                 whole=True,
             )
-            scheduler.end(end, now_s)
+            scheduler.release(end, now_s)
             del running[name]
         over += used > engine.memory_tokens
     assert given > 140
@@ -670,36 +670,36 @@
     """
     scheduler = make_scheduler()
     fleet = make_fleet()
-    scheduler.ask(builders.make_ask('s', attempt=1), 0.0)
+    scheduler.submit(builders.make_ask('s', attempt=1), 0.0)
     (first,) = places(scheduler.decide(fleet, 0.0))
     again = builders.make_ask('s', attempt=2, avoid=(first.decode_id,))
-    scheduler.ask(again, 0.3)
+    scheduler.submit(again, 0.3)
     (second,) = places(scheduler.decide(fleet, 0.3))
     end = placement.Release(
         request_id='s', attempt=1, failed=(first.decode_id,)
     )
-    scheduler.end(end, 0.31)
+    scheduler.release(end, 0.31)
     assert scheduler.held == 1
-    scheduler.end(placement.Release(request_id='s', attempt=2), 2.0)
+    scheduler.release(placement.Release(request_id='s', attempt=2), 2.0)
     assert scheduler.held == 0
 
 
 def test_who_asks_again_holds_nothing_meanwhile():
     """The call that gives the first place back may be lost."""
     scheduler = make_scheduler()
-    scheduler.ask(builders.make_ask('s', attempt=1), 0.0)
+    scheduler.submit(builders.make_ask('s', attempt=1), 0.0)
     scheduler.decide(make_fleet(), 0.0)
-    scheduler.ask(builders.make_ask('s', attempt=2), 0.3)
+    scheduler.submit(builders.make_ask('s', attempt=2), 0.3)
     assert scheduler.held == 0
 
 
 def test_a_runner_that_changes_its_stage_gets_nothing():
     """It refuses all for six seconds, and is still announced as ready."""
     scheduler = make_scheduler()
-    scheduler.ask(builders.make_ask('s'), 0.0)
+    scheduler.submit(builders.make_ask('s'), 0.0)
     answers = scheduler.decide(make_fleet(writers=2), 0.0, changing=('d0',))
     assert places(answers)[0].decode_id == 'd1'
-    scheduler.ask(builders.make_ask('t'), 0.0)
+    scheduler.submit(builders.make_ask('t'), 0.0)
     answers = scheduler.decide(
         make_fleet(writers=1, readers=1), 0.0, changing=('p',)
     )
@@ -719,7 +719,7 @@
         ask = builders.make_ask(
             f's{n}', goes_on=True, written_tokens=4000, output_tokens=5000
         )
-        scheduler.ask(ask, 0.0)
+        scheduler.submit(ask, 0.0)
     now_s = 0.0
     given = 0
     while now_s < 3.0:
@@ -734,13 +734,17 @@
     scheduler = make_scheduler()
     lone = [builders.make_runner('d0')]
     for n in range(5):
-        scheduler.ask(builders.make_ask(f's{n}'), n * 0.5)
+        scheduler.submit(builders.make_ask(f's{n}'), n * 0.5)
         (place,) = places(scheduler.decide(lone, n * 0.5))
         tell_first_event(scheduler, place, n * 0.5, n * 0.5 + 0.21)
     fields = {'goes_on': True, 'prompt_tokens': 3000}
-    scheduler.ask(builders.make_ask('a', written_tokens=4000, **fields), 3.0)
+    scheduler.submit(
+        builders.make_ask('a', written_tokens=4000, **fields), 3.0
+    )
     assert not places(scheduler.decide(lone, 3.0))
-    scheduler.ask(builders.make_ask('b', written_tokens=1000, **fields), 3.0)
+    scheduler.submit(
+        builders.make_ask('b', written_tokens=1000, **fields), 3.0
+    )
     (place,) = places(scheduler.decide(lone, 3.0))
     assert place.request_id == 'b'
 
@@ -756,7 +760,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=1)
     for n in range(30):
-        scheduler.ask(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
     reader = Reader(scheduler)
     given, refused = reader.play(fleet)
     assert reader.longest_s < 0.5
@@ -771,7 +775,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=1)
     for n in range(6):
-        scheduler.ask(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
     reader = Reader(scheduler)
     given, refused = reader.play(fleet)
     assert (given, refused) == (6, 0)
@@ -791,7 +795,7 @@
     for tick in range(200):
         now_s = tick * 0.025
         if tick % 4 == 0:
-            scheduler.ask(
+            scheduler.submit(
                 builders.make_ask(f's{tick}', output_tokens=900), now_s
             )
         reader.read(now_s)
@@ -800,7 +804,7 @@
             running.append((now_s + 1.5, one.request_id))
         while running and running[0][0] <= now_s:
             name = running.pop(0)[1]
-            scheduler.end(placement.Release(request_id=name), now_s)
+            scheduler.release(placement.Release(request_id=name), now_s)
     assert reader.longest_s < 0.55
 
 
@@ -813,7 +817,7 @@
     scheduler = stream_scheduler.StreamScheduler(engine=SHORT_EVENTS)
     fleet = make_fleet(writers=3, readers=1)
     for n in range(8):
-        scheduler.ask(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
     got = places(scheduler.decide(fleet, 0.0))
     by_writers = [one.decode_id for one in got if not one.prefill_id]
     assert sorted(by_writers) == ['d0', 'd1', 'd2']
@@ -825,7 +829,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=2)
     for n in range(4):
-        scheduler.ask(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
     assert all(one.prefill_id for one in places(scheduler.decide(fleet, 0.0)))
 
 
@@ -841,26 +845,26 @@
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
     for n in range(30):
-        scheduler.ask(builders.make_ask(f's{n}', output_tokens=100), now_s)
+        scheduler.submit(builders.make_ask(f's{n}', output_tokens=100), now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         took_s = 0.21 if n % 3 else 0.55
-        scheduler.first_event(place.request_id, 0, took_s, now_s + 0.21)
+        scheduler.note_first_event(place.request_id, 0, took_s, now_s + 0.21)
         end = placement.Release(
             request_id=place.request_id,
             output_tokens=100,
             decode_s=0.3,
             whole=True,
         )
-        scheduler.end(end, now_s + 0.7)
+        scheduler.release(end, now_s + 0.7)
         now_s += 0.35
     long = builders.make_ask('long', prompt_tokens=11_000)
     for n in range(4):
         ask = builders.make_ask(f'b{n}', output_tokens=9000)
-        scheduler.ask(ask, now_s)
+        scheduler.submit(ask, now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.21)
         now_s += 0.35
-    scheduler.ask(long, now_s)
+    scheduler.submit(long, now_s)
     assert not places(scheduler.decide(fleet, now_s))
 
 
@@ -873,7 +877,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=1)
     for n in range(8):
-        scheduler.ask(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
     assert all(one.prefill_id for one in places(scheduler.decide(fleet, 0.0)))
 
 
@@ -894,10 +898,10 @@
         place = placement.Placement(
             request_id=ask.request_id, decode_id=f'd{n % 6}', prefill_id=''
         )
-        scheduler.adopt(place, ask, n / 12)
+        scheduler.restore(place, ask, n / 12)
     for n in range(200):
         ask = builders.make_ask(f's{n}', waited_s=0.85, **sizes)
-        scheduler.ask(ask, 3.0)
+        scheduler.submit(ask, 3.0)
     answers = scheduler.decide(fleet, 3.0)
     assert len(places(answers)) <= 12
     assert 1 <= scheduler.waiting <= 36 * stream_scheduler.LATE_PART + 2
@@ -910,14 +914,14 @@
     answers of that decision were lost.
     """
     scheduler, fleet, now_s = busy_lone_writer()
-    scheduler.ask(builders.make_ask('s6', prompt_tokens=2000), now_s)
+    scheduler.submit(builders.make_ask('s6', prompt_tokens=2000), now_s)
     assert places(scheduler.decide(fleet, now_s))
     long = builders.make_ask('long1', prompt_tokens=11_000)
-    scheduler.ask(long, now_s)
+    scheduler.submit(long, now_s)
     assert refusals(scheduler.decide(fleet, now_s))
     now_s += 0.01
     for n in range(4):
-        scheduler.end(placement.Release(request_id=f's{n}'), now_s)
+        scheduler.release(placement.Release(request_id=f's{n}'), now_s)
     long = builders.make_ask('long2', prompt_tokens=11_000, target_s=9.0)
-    scheduler.ask(long, now_s)
+    scheduler.submit(long, now_s)
     assert not refusals(scheduler.decide(fleet, now_s))
