--- a/limpetroute/bench/scheduler_cost.py
+++ b/limpetroute/bench/scheduler_cost.py
@@ -123,9 +123,9 @@
     for runners in FLEETS:
         for waiting in WAITING:
             fleet = _FullFleet(runners, waiting)
-            checks = fleet.scheduler.room_checks
+            checks = fleet.scheduler.fit_checks
             times_s = sorted(fleet.times_s())
-            checks = fleet.scheduler.room_checks - checks
+            checks = fleet.scheduler.fit_checks - checks
             found.append(
                 SchedulerCost(
                     runners=runners,
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -51,10 +51,10 @@
         self._outliers = outliers
         self._fleet = fleet
         self._limits = limits
-        self.room_checks = 0
+        self.fit_checks = 0
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(room_checks={self.room_checks!r})'
+        return f'{type(self).__name__}(room_checks={self.fit_checks!r})'
 
     def best(
         self, ask: placement.PlacementRequest, ready_s: float, now_s: float
@@ -151,7 +151,7 @@
             return None
         if not self._limits.has_token(runner.runner_id, now_s):
             return None
-        self.room_checks += 1
+        self.fit_checks += 1
         room = self._reservations.room_tokens(taken + 1)
         profile = self._reservations.profile(runner.runner_id, now_s)
         peak = profile.peak_with(outlook, now_s)
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -121,7 +121,7 @@
         )
 
     @property
-    def held(self) -> int:
+    def reservation_count(self) -> int:
         """Number of places that are given."""
         return len(self._reservations)
 
@@ -136,9 +136,9 @@
         return self._unfinished
 
     @property
-    def room_checks(self) -> int:
+    def fit_checks(self) -> int:
         """How often it was worked out whether a stream fits a runner."""
-        return self._decode_placement.room_checks
+        return self._decode_placement.fit_checks
 
     @property
     def tokens_per_s(self) -> float:
@@ -298,7 +298,7 @@
     def _place_waiting(self, now_s: float) -> list[placement.Placement]:
         self._fleet.update(now_s)
         freed = self._fleet.by_room(self._reservations.take_freed())
-        most_checks = self._decode_placement.room_checks + MOST_ROOM_CHECKS
+        most_checks = self._decode_placement.fit_checks + MOST_ROOM_CHECKS
         choice = runner_choice.RunnerChoice(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
@@ -317,7 +317,7 @@
                 if waited_s <= HEAD_OF_LINE_TIMEOUT_S:
                     continue
                 chosen = None
-            elif self._decode_placement.room_checks > most_checks:
+            elif self._decode_placement.fit_checks > most_checks:
                 self._unfinished = True
                 break
             else:
--- a/tests/dispatch/test_started_again.py
+++ b/tests/dispatch/test_started_again.py
@@ -27,9 +27,9 @@
         scheduler.submit(builders.make_ask(f's{n}', prompt_tokens=10), 0.0)
         scheduler.decide([runner], float(n))
         scheduler.note_first_event(f's{n}', 0, 0.01, float(n))
-    assert scheduler.held == builders.ENGINE.slots
+    assert scheduler.reservation_count == builders.ENGINE.slots
     scheduler.forget_runner('d1')
-    assert scheduler.held == 0
+    assert scheduler.reservation_count == 0
 
 
 def test_failures_of_an_earlier_life_keep_no_runner_at_rest():
--- a/tests/routing/test_decode_placement.py
+++ b/tests/routing/test_decode_placement.py
@@ -115,7 +115,7 @@
         if found is None:
             break
         placing.take(ask, found)
-    before = placing.choice.room_checks
+    before = placing.choice.fit_checks
     large = builders.make_ask('large', prompt_tokens=60_000)
     assert placing.choice.best(large, NOW_S, NOW_S) is None
-    assert placing.choice.room_checks == before
+    assert placing.choice.fit_checks == before
--- a/tests/routing/test_stream_scheduler.py
+++ b/tests/routing/test_stream_scheduler.py
@@ -679,9 +679,9 @@
         request_id='s', attempt=1, failed=(first.decode_id,)
     )
     scheduler.release(end, 0.31)
-    assert scheduler.held == 1
+    assert scheduler.reservation_count == 1
     scheduler.release(placement.Release(request_id='s', attempt=2), 2.0)
-    assert scheduler.held == 0
+    assert scheduler.reservation_count == 0
 
 
 def test_who_asks_again_holds_nothing_meanwhile():
@@ -690,7 +690,7 @@
     scheduler.submit(builders.make_ask('s', attempt=1), 0.0)
     scheduler.decide(make_fleet(), 0.0)
     scheduler.submit(builders.make_ask('s', attempt=2), 0.3)
-    assert scheduler.held == 0
+    assert scheduler.reservation_count == 0
 
 
 def test_a_runner_that_changes_its_stage_gets_nothing():
