--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -328,15 +328,15 @@
         self._remove((request_id, attempt))
         self._self_reads.drop((request_id, attempt))
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Forget what a runner reads and how fast; it has started again."""
         for key, reading in list(self._readings.items()):
             if reading.reader_id == runner_id:
                 self._remove(key)
-        self._read_prompts.forget_runner(runner_id)
+        self._read_prompts.reset_runner(runner_id)
         self._speed_sum -= self._speeds.pop(runner_id, 0.0)
         self._sort(runner_id)
-        self._self_reads.forget_runner(runner_id)
+        self._self_reads.reset_runner(runner_id)
 
     def is_idle(self, decoder: runner_info.RunnerInfo, now_s: float) -> bool:
         """Return whether a decode runner may read a prompt now.
--- a/limpetroute/routing/read_prompts.py
+++ b/limpetroute/routing/read_prompts.py
@@ -35,7 +35,7 @@
             self._known.popitem(last=False)
         return was_known
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Forget what a runner has read; it has started again."""
         for key in [one for one in self._known if one[0] == runner_id]:
             del self._known[key]
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -199,7 +199,7 @@
             if reserved is not None and reserved.expires_s == expires_s:
                 self._remove(request_id)
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Drop the reservations at a runner that has started again.
 
         Its streams are over. Their ends come from their hosts, some of
--- a/limpetroute/routing/self_prefill_tracker.py
+++ b/limpetroute/routing/self_prefill_tracker.py
@@ -152,7 +152,7 @@
         if reading is not None:
             self._end(key, 0.0)
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Forget what a runner reads and how fast; it has started again."""
         for key, reading in list(self._readings.items()):
             if reading.runner_id == runner_id:
@@ -160,7 +160,7 @@
         self._of_runner.pop(runner_id, None)
         self._free_s.pop(runner_id, None)
         self._speeds.pop(runner_id, None)
-        self._read_prompts.forget_runner(runner_id)
+        self._read_prompts.reset_runner(runner_id)
 
     def free_s(self, runner_id: str, now_s: float) -> float:
         """Return when a runner may read the next prompt."""
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -162,15 +162,15 @@
         """Return for how long runners have seemed gone, by identity."""
         return self._outliers.gone_s(runners, now_s)
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Forget a runner's earlier life; it has started again.
 
         It holds and knows nothing of before. Counted on, its former
         streams would keep new ones out until they expire, and failures
         of a process that is gone would keep it at rest.
         """
-        self._reservations.forget_runner(runner_id)
-        self._prefill.forget_runner(runner_id)
+        self._reservations.reset_runner(runner_id)
+        self._prefill.reset_runner(runner_id)
         self._outliers.forget(runner_id)
 
     def submit(self, ask: placement.PlacementRequest, now_s: float) -> None:
--- a/tests/dispatch/test_started_again.py
+++ b/tests/dispatch/test_started_again.py
@@ -28,7 +28,7 @@
         scheduler.decide([runner], float(n))
         scheduler.note_first_event(f's{n}', 0, 0.01, float(n))
     assert scheduler.reservation_count == builders.ENGINE.slots
-    scheduler.forget_runner('d1')
+    scheduler.reset_runner('d1')
     assert scheduler.reservation_count == 0
 
 
@@ -40,7 +40,7 @@
         scheduler.decide(runners, 0.0)
         scheduler.release(make_end(f's{n}', 'd1'), 0.0)
     assert scheduler.gone_s(runners, 1.0)
-    scheduler.forget_runner('d1')
+    scheduler.reset_runner('d1')
     assert not scheduler.gone_s(runners, 1.0)
 
 
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -35,7 +35,7 @@
             del here[name]
         elif action < 0.96:
             gone = f'd{rng.randrange(6)}'
-            reserved.forget_runner(gone)
+            reserved.reset_runner(gone)
             here = {
                 name: held
                 for name, held in here.items()
