--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -40,7 +40,7 @@
 # no pass keeps its process from other work.
 MOST_ROOM_CHECKS = 1000
 
-Answer = placement.Placement | placement.Rejection
+PlacementResult = placement.Placement | placement.Rejection
 
 
 class StreamScheduler:
@@ -257,7 +257,7 @@
         now_s: float,
         *,
         changing: typing.Collection[str] = (),
-    ) -> list[Answer]:
+    ) -> list[PlacementResult]:
         """Return what waiting streams get now.
 
         ``changing`` are runners that were told to change their stage:
@@ -274,7 +274,7 @@
             for one in self._waiting.in_order():
                 one.fits_nowhere = False
         self._estimate.refresh(len(self._waiting), now_s, full=full)
-        answers: list[Answer] = []
+        answers: list[PlacementResult] = []
         answers.extend(self._place_waiting(now_s))
         if full or self._has_new:
             self._estimate.refresh(len(self._waiting), now_s, full=full)
