--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -18,6 +18,7 @@
 from limpetroute.forwarding import runner_call
 from limpetroute.forwarding import scheduler_client
 from limpetroute.routing import last_streams
+from limpetroute.routing import moving_mean
 from limpetroute.routing import next_step
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
@@ -25,7 +26,6 @@
 from limpetroute.routing import send_result
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import usual_size
 
 LOG = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
         self.rng = rng
         # When a host that stops breaks off what is still open.
         self.ends_s: float | None = None
-        self._speeds: dict[str, usual_size.UsualSize] = {}
+        self._speeds: dict[str, moving_mean.MovingMean] = {}
         self.takes_calls = True
         self._watch = watch
         self._make_budget = make_budget
@@ -276,11 +276,13 @@
             },
         )
 
-    def _speed(self, service: service_module.Service) -> usual_size.UsualSize:
+    def _speed(
+        self, service: service_module.Service
+    ) -> moving_mean.MovingMean:
         known = self._speeds.get(service.name)
         if known is None:
             assert service.engine is not None
-            known = self._speeds[service.name] = usual_size.UsualSize(
+            known = self._speeds[service.name] = moving_mean.MovingMean(
                 stage_rates.first_write_tokens_per_s(service.engine)
             )
         return known
--- a/limpetroute/routing/usual_size.py
+++ b/limpetroute/routing/moving_mean.py
@@ -8,7 +8,7 @@
 GUESS_WEIGHT = 16
 
 
-class UsualSize:
+class MovingMean:
     """The mean of what came of late.
 
     Each of the first ones counts as much as the others; later the newest
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -6,6 +6,7 @@
 
 import sortedcontainers
 
+from limpetroute.routing import moving_mean
 from limpetroute.routing import placement
 from limpetroute.routing import read_prompts
 from limpetroute.routing import reading_pause
@@ -15,7 +16,6 @@
 from limpetroute.routing import self_prefill_tracker
 from limpetroute.routing import stage_rates
 from limpetroute.routing import stream_times
-from limpetroute.routing import usual_size
 
 # A prompt that holds a runner's streams up for too long is only read where
 # it makes no more of them late than it is itself on time.
@@ -73,7 +73,7 @@
         self,
         *,
         reserved: reservations.Reservations,
-        prompt_size: usual_size.UsualSize,
+        prompt_size: moving_mean.MovingMean,
     ) -> None:
         self._reservations = reserved
         # In the order in which they began.
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -10,12 +10,12 @@
 from limpetroute.routing import length_estimate
 from limpetroute.routing import memory_headroom
 from limpetroute.routing import memory_profile
+from limpetroute.routing import moving_mean
 from limpetroute.routing import placement
 from limpetroute.routing import recent_samples
 from limpetroute.routing import runner_reservations
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import usual_size
 
 # Ends shorter than this say little of a stream's speed.
 LEAST_MEASURED_S = 0.2
@@ -56,10 +56,10 @@
         self._freed: set[str] = set()
         self._lengths = length_estimate.LengthEstimate()
         first_error = stage_rates.first_guess(engine).deviation_tokens
-        self._square_error = usual_size.UsualSize(first_error * first_error)
+        self._square_error = moving_mean.MovingMean(first_error * first_error)
         self._planned_deviation_tokens = first_error
         self._rooms: dict[int, float] = {}
-        self._speed = usual_size.UsualSize(
+        self._speed = moving_mean.MovingMean(
             stage_rates.first_write_tokens_per_s(engine)
         )
 
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -7,6 +7,7 @@
 from limpetroute.routing import decode_placement
 from limpetroute.routing import fleet as fleet_module
 from limpetroute.routing import forecast
+from limpetroute.routing import moving_mean
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import placement
 from limpetroute.routing import pool_sizing
@@ -18,7 +19,6 @@
 from limpetroute.routing import runner_limits
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import usual_size
 from limpetroute.routing import wait_estimate
 from limpetroute.routing import waiting_queue
 from limpetroute.routing import waiting_stream
@@ -80,8 +80,8 @@
         self._limits = limits or runner_limits.RunnerLimits()
         self._reservations = reservations.Reservations(engine=engine)
         guess = stage_rates.first_guess(engine)
-        self._prompt_size = usual_size.UsualSize(guess.prompt_tokens)
-        self._output_size = usual_size.UsualSize(guess.output_tokens)
+        self._prompt_size = moving_mean.MovingMean(guess.prompt_tokens)
+        self._output_size = moving_mean.MovingMean(guess.output_tokens)
         self._prefill = prefill_queue.PrefillQueue(
             reserved=self._reservations,
             prompt_size=self._prompt_size,
--- a/tests/routing/test_prefill_queue.py
+++ b/tests/routing/test_prefill_queue.py
@@ -1,6 +1,6 @@
+from limpetroute.routing import moving_mean
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
-from limpetroute.routing import usual_size
 from tests.routing import builders
 
 READER = builders.make_runner('p', builders.PREFILL)
@@ -12,7 +12,7 @@
 def make_queue():
     queue = prefill_queue.PrefillQueue(
         reserved=reservations.Reservations(engine=builders.ENGINE),
-        prompt_size=usual_size.UsualSize(5000.0),
+        prompt_size=moving_mean.MovingMean(5000.0),
     )
     queue.use([READER])
     return queue
