--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -259,7 +259,7 @@
     def _forget_runner(self, runner_id: str) -> None:
         """Forget what was known of a runner that has started again."""
         for scheduler in self._schedulers.values():
-            scheduler.forget_runner(runner_id)
+            scheduler.reset_runner(runner_id)
 
     def _request_pass(self, service: str) -> None:
         """Have a service's streams placed after what is at hand now.
@@ -298,7 +298,7 @@
                     'outcome': type(answer).__name__,
                     **_detail(answer),
                     **(_inputs(pending.ask) if pending else {}),
-                    'held': scheduler.held,
+                    'held': scheduler.reservation_count,
                     'waiting': scheduler.waiting,
                     'tokens_per_s': round(scheduler.tokens_per_s),
                     'term': self._led_term,
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -54,7 +54,7 @@
         self.fit_checks = 0
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(room_checks={self.fit_checks!r})'
+        return f'{type(self).__name__}(fit_checks={self.fit_checks!r})'
 
     def best(
         self, ask: placement.PlacementRequest, ready_s: float, now_s: float
