--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -17,7 +17,6 @@
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.forwarding import scheduler_client
-from limpetroute.routing import last_streams
 from limpetroute.routing import moving_mean
 from limpetroute.routing import next_step
 from limpetroute.routing import route as route_module
@@ -25,6 +24,7 @@
 from limpetroute.routing import send_budget
 from limpetroute.routing import send_result
 from limpetroute.routing import service as service_module
+from limpetroute.routing import shutdown_admission
 from limpetroute.routing import stage_rates
 
 LOG = logging.getLogger(__name__)
@@ -107,7 +107,7 @@
         """Return whether a stream surely ends before this host does."""
         if self.ends_s is None:
             return True
-        return last_streams.may_take(
+        return shutdown_admission.ends_before_shutdown(
             most_tokens=generation.max_output_tokens,
             tokens_per_s=self._speed(service).mean,
             left_s=self.ends_s - _now_s(),
--- a/limpetroute/routing/last_streams.py
+++ b/limpetroute/routing/shutdown_admission.py
@@ -6,7 +6,9 @@
 BEGIN_S = 0.6
 
 
-def may_take(*, most_tokens: int, tokens_per_s: float, left_s: float) -> bool:
+def ends_before_shutdown(
+    *, most_tokens: int, tokens_per_s: float, left_s: float
+) -> bool:
     """Return whether a stream surely ends before this host does.
 
     Pattern: hosts are stopped one after the other, faster than each of
--- a/tests/routing/test_last_streams.py
+++ b/tests/routing/test_shutdown_admission.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from limpetroute.routing import last_streams
+from limpetroute.routing import shutdown_admission
 
 
 @pytest.mark.parametrize(
@@ -15,7 +15,7 @@
     Refused, each caller has one try left in the middle of a burst. Taken
     by an estimate, one in five was cut when its host ended.
     """
-    got = last_streams.may_take(
+    got = shutdown_admission.ends_before_shutdown(
         most_tokens=most_tokens, tokens_per_s=170.0, left_s=left_s
     )
     assert got is taken
