--- a/limpetroute/forwarding/forwarder.py
+++ b/limpetroute/forwarding/forwarder.py
@@ -12,7 +12,7 @@
 from limpetroute.routing import next_step
 from limpetroute.routing import route as route_module
 from limpetroute.routing import route_plan
-from limpetroute.routing import start_wait
+from limpetroute.routing import startup_wait
 
 LOG = logging.getLogger(__name__)
 
@@ -94,7 +94,7 @@
     ) -> route_plan.RoutePlan | None:
         """Return the first configuration if it comes soon."""
         loop = asyncio.get_running_loop()
-        limit_s = start_wait.longest_wait_s(
+        limit_s = startup_wait.max_wait_s(
             age_s=loop.time() - self._started_s,
             patience_s=request.patience_s,
         )
--- a/limpetroute/routing/start_wait.py
+++ b/limpetroute/routing/startup_wait.py
@@ -10,7 +10,7 @@
 PATIENCE_PART = 1 / 4
 
 
-def longest_wait_s(*, age_s: float, patience_s: float | None) -> float:
+def max_wait_s(*, age_s: float, patience_s: float | None) -> float:
     """Return how long a request may wait for the first configuration.
 
     Pattern: all hosts lose power or are killed together. Callers failed
