--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -283,7 +283,7 @@
         if known is None:
             assert service.engine is not None
             known = self._speeds[service.name] = moving_mean.MovingMean(
-                stage_rates.first_write_tokens_per_s(service.engine)
+                stage_rates.default_decode_tokens_per_s(service.engine)
             )
         return known
 
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -199,7 +199,7 @@
     def _decide_alone(
         self, ask: placement.PlacementRequest
     ) -> AssignedRunners | placement.Rejection:
-        if ask.waited_s > stream_times.longest_wait_s(ask):
+        if ask.waited_s > stream_times.max_wait_s(ask):
             return placement.Rejection(
                 request_id=ask.request_id,
                 retry_after_s=1.0,
@@ -227,7 +227,7 @@
                 now_s=now_s,
                 rng=context.rng,
             )
-        may_read = prefill or local_placement.may_self_read_alone(
+        may_read = prefill or local_placement.may_self_prefill_locally(
             ask, entry_hosts=context.entry_hosts
         )
         if decode is None or not may_read or not self._take(decode, prefill):
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -261,4 +261,4 @@
 
 def _answer_due_s(ask: placement.PlacementRequest) -> float:
     """Return how long the leader may hold this call."""
-    return max(0.0, stream_times.longest_wait_s(ask) - ask.waited_s)
+    return max(0.0, stream_times.max_wait_s(ask) - ask.waited_s)
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -14,7 +14,7 @@
 LONGEST_SELF_READ_TOKENS = 5500
 
 
-def may_self_read_alone(
+def may_self_prefill_locally(
     ask: placement.PlacementRequest, *, entry_hosts: int
 ) -> bool:
     """Return whether a host may have a decode runner read this prompt.
--- a/limpetroute/routing/pool_sizing.py
+++ b/limpetroute/routing/pool_sizing.py
@@ -200,7 +200,7 @@
         # One that was ordered is gone or leaves: what it was ordered for
         # is decided anew once that is settled.
         return None
-    rates = rates or stage_rates.first_guess(engine)
+    rates = rates or stage_rates.default_rates(engine)
     settled = [one for one in ready if one.runner_id not in changing]
     readers = [
         one for one in settled if one.stage is stage_module.Stage.PREFILL
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -98,7 +98,7 @@
     def tokens_per_s(self) -> float:
         """How fast prefill runners read, as measured."""
         if not self._speeds:
-            return stage_rates.FIRST_READ_TOKENS_PER_S
+            return stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
         return self._speed_sum / len(self._speeds)
 
     def use(
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -55,12 +55,12 @@
         self._changed: set[str] = set()
         self._freed: set[str] = set()
         self._lengths = length_estimate.LengthEstimate()
-        first_error = stage_rates.first_guess(engine).deviation_tokens
+        first_error = stage_rates.default_rates(engine).deviation_tokens
         self._square_error = moving_mean.MovingMean(first_error * first_error)
         self._planned_deviation_tokens = first_error
         self._rooms: dict[int, float] = {}
         self._speed = moving_mean.MovingMean(
-            stage_rates.first_write_tokens_per_s(engine)
+            stage_rates.default_decode_tokens_per_s(engine)
         )
 
         self._event_s: dict[str, recent_samples.RecentSamples] = {}
--- a/limpetroute/routing/stage_rates.py
+++ b/limpetroute/routing/stage_rates.py
@@ -12,7 +12,7 @@
 # An answer of 3.5 s, to a prompt that is read in a tenth of a second.
 FIRST_EVENTS = 70
 FIRST_PROMPT_TOKENS = 5_000.0
-FIRST_READ_TOKENS_PER_S = 50_000.0
+DEFAULT_PREFILL_TOKENS_PER_S = 50_000.0
 # A decode runner reads at half the speed of a prefill runner.
 SELF_READ_PART = 0.5
 # Answers differ from what is expected by about a third.
@@ -70,18 +70,18 @@
         return self.prompt_tokens + self.output_tokens / 2
 
 
-def first_write_tokens_per_s(engine: service_module.Engine) -> float:
+def default_decode_tokens_per_s(engine: service_module.Engine) -> float:
     """Return the speed of a stream that is expected before any was seen."""
     return engine.tokens_per_event / FIRST_EVENT_S
 
 
-def first_guess(engine: service_module.Engine) -> StageRates:
+def default_rates(engine: service_module.Engine) -> StageRates:
     """Return what is expected before any stream was seen."""
     output_tokens = float(FIRST_EVENTS * engine.tokens_per_event)
     return StageRates(
         prompt_tokens=FIRST_PROMPT_TOKENS,
         output_tokens=output_tokens,
-        read_tokens_per_s=FIRST_READ_TOKENS_PER_S,
-        write_tokens_per_s=first_write_tokens_per_s(engine),
+        read_tokens_per_s=DEFAULT_PREFILL_TOKENS_PER_S,
+        write_tokens_per_s=default_decode_tokens_per_s(engine),
         deviation_tokens=output_tokens * FIRST_DEVIATION_PART,
     )
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -79,7 +79,7 @@
         self._engine = engine
         self._limits = limits or runner_limits.RunnerLimits()
         self._reservations = reservations.Reservations(engine=engine)
-        guess = stage_rates.first_guess(engine)
+        guess = stage_rates.default_rates(engine)
         self._prompt_size = moving_mean.MovingMean(guess.prompt_tokens)
         self._output_size = moving_mean.MovingMean(guess.output_tokens)
         self._prefill = prefill_queue.PrefillQueue(
@@ -410,12 +410,12 @@
                 one.is_known = True
                 has_room = not one.fits_nowhere and room.has_room(one.ask)
                 turn_s = self._estimate.turn_s(one.ask, ahead, has_room)
-                too_late = turn_s - one.sent_s > one.longest_s
+                too_late = turn_s - one.sent_s > one.max_wait_s
                 one.counts_ahead = has_decoder and (
                     self._in_time(one, turn_s)
                     or (one.ask.goes_on and not too_late)
                 )
-                overdue = now_s - one.sent_s > one.longest_s
+                overdue = now_s - one.sent_s > one.max_wait_s
                 if not one.counts_ahead and (
                     not has_decoder or late >= late_room or too_late or overdue
                 ):
--- a/limpetroute/routing/stream_times.py
+++ b/limpetroute/routing/stream_times.py
@@ -15,7 +15,7 @@
 LAST_CHANCE_TO_BEGIN_S = 1.2
 
 
-def longest_wait_s(ask: placement.PlacementRequest) -> float:
+def max_wait_s(ask: placement.PlacementRequest) -> float:
     """Return how long after its last event a place is still worth giving."""
     if ask.goes_on:
         return ask.silence_s - LAST_CHANCE_S
@@ -31,6 +31,6 @@
     """
     waited_s = ask.waited_s + wait_s
     if ask.goes_on:
-        return waited_s < longest_wait_s(ask)
-    read_s = ask.tokens_to_read / stage_rates.FIRST_READ_TOKENS_PER_S
+        return waited_s < max_wait_s(ask)
+    read_s = ask.tokens_to_read / stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
     return waited_s + OVERHEAD_S + read_s < ask.target_s
--- a/limpetroute/routing/waiting_stream.py
+++ b/limpetroute/routing/waiting_stream.py
@@ -48,9 +48,9 @@
         return self.first_sent_s + self.ask.target_s
 
     @property
-    def longest_s(self) -> float:
+    def max_wait_s(self) -> float:
         """How long after `sent_s` a place is still worth giving."""
-        return stream_times.longest_wait_s(self.ask)
+        return stream_times.max_wait_s(self.ask)
 
     def is_on_time(self, first_event_s: float) -> bool:
         """Return whether it meets its targets with a first event then.
--- a/tests/routing/test_stream_times.py
+++ b/tests/routing/test_stream_times.py
@@ -15,14 +15,14 @@
     """
     fresh = builders.make_ask('a', silence_s=silence_s)
     begun = builders.make_ask('b', silence_s=silence_s, goes_on=True)
-    fresh_s = stream_times.longest_wait_s(fresh)
-    begun_s = stream_times.longest_wait_s(begun)
+    fresh_s = stream_times.max_wait_s(fresh)
+    begun_s = stream_times.max_wait_s(begun)
     assert 0 < fresh_s < begun_s < silence_s
     assert silence_s - begun_s < 0.5
     assert silence_s - fresh_s < 1.5
 
 
 def test_what_suits_the_usual_stream():
-    assert stream_times.longest_wait_s(builders.make_ask('a')) == (
+    assert stream_times.max_wait_s(builders.make_ask('a')) == (
         pytest.approx(2.4)
     )
