--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -140,8 +140,10 @@
             self._wanted_s.pop(service.name, None)
             return
         wanted_s = self._wanted_s.setdefault(service.name, now_s)
-        writers = pool_sizing.writers_after(change, runners, gone_s=gone_s)
-        if now_s - wanted_s < pool_sizing.wait_s(change, writers):
+        writers = pool_sizing.decode_runners_during_change(
+            change, runners, gone_s=gone_s
+        )
+        if now_s - wanted_s < pool_sizing.change_delay_s(change, writers):
             return
         target = next(
             one for one in runners if one.runner_id == change.runner_id
--- a/limpetroute/routing/pool_sizing.py
+++ b/limpetroute/routing/pool_sizing.py
@@ -65,7 +65,7 @@
     use = 0.0
     if reading_pause.is_good_beside(rates.pace_beside_reading):
         use = READ_USE
-    places = writers * streams_at_once(engine, rates)
+    places = writers * concurrent_streams(engine, rates)
     begin_s = rates.read_s + stream_times.OVERHEAD_S
     least = 0.0
     most = places / (begin_s + rates.write_s)
@@ -86,7 +86,7 @@
     return least
 
 
-def wanted_prefill(
+def target_prefill_count(
     runners: int,
     engine: service_module.Engine,
     rates: stage_rates.StageRates,
@@ -130,7 +130,7 @@
         )
 
 
-def streams_at_once(
+def concurrent_streams(
     engine: service_module.Engine, rates: stage_rates.StageRates
 ) -> float:
     """Return how many streams a decode runner has at once.
@@ -211,7 +211,7 @@
     will_read = len(readers) + sum(
         one.stage is stage_module.Stage.DECODE for one in under_way
     )
-    wanted = wanted_prefill(len(ready), engine, rates)
+    wanted = target_prefill_count(len(ready), engine, rates)
     if will_read == wanted or not _is_worth_it(
         will_read, wanted, len(ready), engine, rates
     ):
@@ -254,7 +254,7 @@
     return then_per_s >= now_per_s * WORTH_A_CHANGE
 
 
-def writers_after(
+def decode_runners_during_change(
     change: StageChange,
     runners: typing.Iterable[runner_info.RunnerInfo],
     *,
@@ -270,7 +270,7 @@
     )
 
 
-def wait_s(change: StageChange, writers: int) -> float:
+def change_delay_s(change: StageChange, writers: int) -> float:
     """Return how long a change has to be wanted before it is ordered.
 
     Pattern: the last reader leaves while one of the two writers has just
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -434,7 +434,7 @@
         Slots alone would let hundreds wait for memory until they are
         overdue, where a few dozen can be placed in time.
         """
-        each = pool_sizing.streams_at_once(self._engine, self.rates)
+        each = pool_sizing.concurrent_streams(self._engine, self.rates)
         return len(self._fleet.decoders) * each
 
     def _reject(
--- a/tests/routing/test_pool_sizing.py
+++ b/tests/routing/test_pool_sizing.py
@@ -58,7 +58,9 @@
     [(0, 0), (1, 0), (2, 1), (3, 1), (4, 1), (6, 2), (11, 3), (24, 7)],
 )
 def test_wanted_readers_of_long_answers(runners, readers):
-    got = pool_sizing.wanted_prefill(runners, builders.ENGINE, LONG_ANSWERS)
+    got = pool_sizing.target_prefill_count(
+        runners, builders.ENGINE, LONG_ANSWERS
+    )
     assert got == readers
 
 
@@ -73,7 +75,7 @@
     eight: prompts waited for them, and half of a burst came late or was
     refused, while a third of the writers' memory stood empty.
     """
-    got = pool_sizing.wanted_prefill(runners, STILL_ENGINE, STILL)
+    got = pool_sizing.target_prefill_count(runners, STILL_ENGINE, STILL)
     assert got == readers
 
 
@@ -91,7 +93,7 @@
         return plain(readers, writers, **rest)
 
     monkeypatch.setattr(pool_sizing, 'streams_per_s', counted)
-    got = pool_sizing.wanted_prefill(runners, builders.ENGINE, rates)
+    got = pool_sizing.target_prefill_count(runners, builders.ENGINE, rates)
     assert len(tried) <= 100
     best = max(
         plain(one, runners - one, engine=builders.ENGINE, rates=rates)
@@ -295,7 +297,7 @@
 
 
 def test_three_runners_with_little_memory_keep_their_reader():
-    assert pool_sizing.wanted_prefill(3, SMALL, LONG_ANSWERS) == 1
+    assert pool_sizing.target_prefill_count(3, SMALL, LONG_ANSWERS) == 1
 
 
 @pytest.mark.parametrize('count', range(1, 30))
