--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -64,7 +64,7 @@
         Runners are looked at from the one with most free memory on, until
         none that follows can be better; those of the caller's zone first.
         """
-        decoders = self._fleet.decoders
+        decoders = self._fleet.decode_runners
         outlook = self._reservations.outlook(ask, ready_s)
         bonus = self._engine.memory_tokens * SAME_ZONE_BONUS
         best = None
@@ -103,7 +103,7 @@
         best = None
         best_rank = 0.0
         for runner in runners:
-            free = self._fleet.decoders.free_tokens(runner.runner_id)
+            free = self._fleet.decode_runners.free_tokens(runner.runner_id)
             if free < ask.tokens_to_read:
                 break
             if outlook is None:
@@ -117,7 +117,7 @@
         """Return whether a decode runner has room for a stream now."""
         outlook = self._reservations.outlook(ask, now_s)
         checks = 0
-        for free, runner in self._fleet.decoders.most_free():
+        for free, runner in self._fleet.decode_runners.most_free():
             if free < ask.tokens_to_read or checks == ROOM_CANDIDATES:
                 return False
             if self._rank(ask, outlook, runner, now_s) is not None:
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -39,13 +39,13 @@
             stage_module.Stage | None, dict[str, runner_info.RunnerInfo]
         ] = {}
         self._unusable: tuple[set[str], set[str]] = (set(), set())
-        self.decoders = room_index.RoomIndex()
-        self.readers: list[runner_info.RunnerInfo] = []
+        self.decode_runners = room_index.RoomIndex()
+        self.prefill_runners: list[runner_info.RunnerInfo] = []
 
     def __repr__(self) -> str:
         return (
-            f'{type(self).__name__}(decoders={len(self.decoders)!r}, '
-            f'readers={len(self.readers)!r})'
+            f'{type(self).__name__}(decoders={len(self.decode_runners)!r}, '
+            f'readers={len(self.prefill_runners)!r})'
         )
 
     def refresh(
@@ -79,7 +79,7 @@
         else:
             self._eject(unusable[0] - ejected, ejected - unusable[0], now_s)
         ready = self._ready.get(stage_module.Stage.PREFILL, {})
-        self.readers = [
+        self.prefill_runners = [
             one for name, one in ready.items() if name not in unusable[1]
         ]
         return True
@@ -87,38 +87,40 @@
     def update(self, now_s: float) -> None:
         """Take note of what runners have free whose streams changed."""
         for runner_id in self._reservations.take_changed():
-            if runner_id in self.decoders:
-                self.decoders.put(
-                    self.decoders.runner(runner_id),
+            if runner_id in self.decode_runners:
+                self.decode_runners.put(
+                    self.decode_runners.runner(runner_id),
                     self._reservations.free_tokens(runner_id, now_s),
                 )
 
-    def by_room(
+    def by_free_memory(
         self, runner_ids: typing.Iterable[str]
     ) -> list[runner_info.RunnerInfo]:
         """Return some decode runners that may be used, most free first."""
-        known = [one for one in runner_ids if one in self.decoders]
-        known.sort(key=lambda one: (-self.decoders.free_tokens(one), one))
-        return [self.decoders.runner(one) for one in known]
+        known = [one for one in runner_ids if one in self.decode_runners]
+        known.sort(
+            key=lambda one: (-self.decode_runners.free_tokens(one), one)
+        )
+        return [self.decode_runners.runner(one) for one in known]
 
     def _index(self, now_s: float) -> None:
         self._reservations.take_changed()
-        self.decoders = room_index.RoomIndex()
+        self.decode_runners = room_index.RoomIndex()
         ready = self._ready.get(stage_module.Stage.DECODE, {})
         for runner_id, one in ready.items():
             if runner_id not in self._unusable[0]:
                 free = self._reservations.free_tokens(runner_id, now_s)
-                self.decoders.put(one, free)
+                self.decode_runners.put(one, free)
 
     def _eject(
         self, left_out: set[str], taken_back: set[str], now_s: float
     ) -> None:
         for runner_id in left_out:
-            self.decoders.remove(runner_id)
+            self.decode_runners.remove(runner_id)
         ready = self._ready.get(stage_module.Stage.DECODE, {})
         for runner_id in taken_back:
             free = self._reservations.free_tokens(runner_id, now_s)
-            self.decoders.put(ready[runner_id], free)
+            self.decode_runners.put(ready[runner_id], free)
 
     def _find_unusable(self, now_s: float) -> tuple[set[str], set[str]]:
         """Return the decode and the prefill runners that get no work.
--- a/limpetroute/routing/runner_choice.py
+++ b/limpetroute/routing/runner_choice.py
@@ -107,7 +107,7 @@
         return Chosen(decoder=decoder, reader=reader, ready_s=ready_s)
 
     def _free_tokens(self, runner: runner_info.RunnerInfo) -> float:
-        return self._fleet.decoders.free_tokens(runner.runner_id)
+        return self._fleet.decode_runners.free_tokens(runner.runner_id)
 
     def _first_free_reader(self) -> runner_info.RunnerInfo | None:
         if self._reader is None:
@@ -151,7 +151,7 @@
         if self._idle is None:
             self._idle = [
                 one
-                for _, one in self._fleet.decoders.most_free()
+                for _, one in self._fleet.decode_runners.most_free()
                 if self._prefill.is_idle(one, self._now_s)
             ]
         return self._idle
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -267,7 +267,9 @@
         others = self._fleet.refresh(runners, changing, now_s)
         full = others or now_s - self._full_pass_s >= FULL_PASS_S
         if others:
-            self._prefill.use(self._fleet.readers, self._fleet.decoders)
+            self._prefill.use(
+                self._fleet.prefill_runners, self._fleet.decode_runners
+            )
         if full:
             self._full_pass_s = now_s
             self._waiting.sort(lambda one: self._in_time(one, now_s))
@@ -289,7 +291,7 @@
 
     def _in_time(self, one: waiting_stream.WaitingStream, at_s: float) -> bool:
         """Return whether a place given then makes the stream's target."""
-        has_reader = bool(self._fleet.readers)
+        has_reader = bool(self._fleet.prefill_runners)
         needed_s = self._prefill.to_first_event_s(one.ask, has_reader)
         return one.in_time(at_s, needed_s)
 
@@ -297,7 +299,7 @@
 
     def _place_waiting(self, now_s: float) -> list[placement.Placement]:
         self._fleet.update(now_s)
-        freed = self._fleet.by_room(self._reservations.take_freed())
+        freed = self._fleet.by_free_memory(self._reservations.take_freed())
         most_checks = self._decode_placement.fit_checks + MOST_ROOM_CHECKS
         choice = runner_choice.RunnerChoice(
             prefill=self._prefill,
@@ -396,7 +398,7 @@
         Between full passes only new streams are looked at, behind those
         that were found to have a turn.
         """
-        has_decoder = bool(self._fleet.decoders)
+        has_decoder = bool(self._fleet.decode_runners)
         late_room = max(1, round(self._streams_at_once * LATE_PART))
         room = room_probe.RoomProbe(
             decode_placement=self._decode_placement, now_s=now_s
@@ -435,7 +437,7 @@
         overdue, where a few dozen can be placed in time.
         """
         each = pool_sizing.concurrent_streams(self._engine, self.rates)
-        return len(self._fleet.decoders) * each
+        return len(self._fleet.decode_runners) * each
 
     def _reject(
         self, one: waiting_stream.WaitingStream, now_s: float
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -72,15 +72,18 @@
         self._ends_s = None
         self._queue_s = None
         self._quiet_at_s = None
-        if full or len(self._fleet.decoders) <= prefill_queue.FEW_RUNNERS:
+        if (
+            full
+            or len(self._fleet.decode_runners) <= prefill_queue.FEW_RUNNERS
+        ):
             self._self_readers = None
 
     def can_be_read(self, ask: placement.PlacementRequest) -> bool:
         """Return whether some runner may read a prompt once it is free."""
-        if ask.reads_prompt and self._fleet.readers:
+        if ask.reads_prompt and self._fleet.prefill_runners:
             return True
         if not self._prefill.is_long(ask):
-            return bool(self._fleet.decoders)
+            return bool(self._fleet.decode_runners)
         return self._self_reading.has_quiet
 
     def turn_s(
@@ -89,7 +92,7 @@
         """Return when a stream gets its place, after those ahead."""
         if not self.can_be_read(ask):
             return self._quiet_s()
-        if not self._fleet.readers or not ask.reads_prompt:
+        if not self._fleet.prefill_runners or not ask.reads_prompt:
             return min(self.place_s(ahead), self._self_read_s(ask, ahead))
         queue_s = self._queue_turn_s(ahead)
         if self._prefill.writers_read_well:
@@ -115,7 +118,7 @@
             self._queue_s = 0.0
             if first is not None:
                 self._queue_s = self._prefill.queue_s(first, self._now_s)
-        each_s = self._prefill.read_each_s / len(self._fleet.readers)
+        each_s = self._prefill.read_each_s / len(self._fleet.prefill_runners)
         longest_s = prefill_queue.LONGEST_QUEUE_S
         wait_s = self._queue_s - longest_s + ahead * each_s
         return self._now_s + max(0.0, wait_s)
@@ -128,7 +131,7 @@
         Such a runner has slots, but reads one prompt at a time: it is
         waited for, not for the end of one of its streams.
         """
-        if len(self._fleet.decoders) <= prefill_queue.FEW_RUNNERS:
+        if len(self._fleet.decode_runners) <= prefill_queue.FEW_RUNNERS:
             soonest_s, count = self._soonest_with_room(ask)
         else:
             soonest_s, count = self._self_reading.soonest(
@@ -145,7 +148,7 @@
         only_quiet = self._prefill.is_long(ask)
         found_s = [
             self._prefill.self_read_s(runner, self._now_s)
-            for runner in self._fleet.decoders
+            for runner in self._fleet.decode_runners
             if not (only_quiet and not self._prefill.may_read_long(runner))
             and self._decode_placement.fits(ask, runner, self._now_s)
         ]
@@ -169,7 +172,7 @@
         """
         if self._quiet_at_s is None:
             quiet_s = []
-            for runner in self._fleet.decoders:
+            for runner in self._fleet.decode_runners:
                 ends_s = self._reservations.on_time_ends_s(
                     runner.runner_id, self._now_s
                 )
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -47,8 +47,14 @@
         changing = {'d7'} if step % 50 < 10 else set()
         known.refresh(now_s, changing)
         for stage, usable in (
-            (builders.DECODE, {one.runner_id for one in known.fleet.decoders}),
-            (builders.PREFILL, {one.runner_id for one in known.fleet.readers}),
+            (
+                builders.DECODE,
+                {one.runner_id for one in known.fleet.decode_runners},
+            ),
+            (
+                builders.PREFILL,
+                {one.runner_id for one in known.fleet.prefill_runners},
+            ),
         ):
             ready = {
                 one.runner_id
