--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -71,14 +71,14 @@
         best_rank = 0.0
         if ask.zone:
             for free, runner in decoders.most_free(ask.zone):
-                most = free - ask.tokens_to_read
+                most = free - ask.prefill_tokens
                 if most < 0 or (best and most + bonus <= best_rank):
                     break
                 rank = self._rank(ask, outlook, runner, now_s)
                 if rank is not None and (best is None or rank > best_rank):
                     best, best_rank = runner, rank
         for free, runner in decoders.most_free():
-            most = free - ask.tokens_to_read
+            most = free - ask.prefill_tokens
             if most < 0 or (best and most <= best_rank):
                 break
             if ask.zone and runner.zone == ask.zone:
@@ -104,7 +104,7 @@
         best_rank = 0.0
         for runner in runners:
             free = self._fleet.decode_runners.free_tokens(runner.runner_id)
-            if free < ask.tokens_to_read:
+            if free < ask.prefill_tokens:
                 break
             if outlook is None:
                 outlook = self._reservations.outlook(ask, ready_s)
@@ -118,7 +118,7 @@
         outlook = self._reservations.outlook(ask, now_s)
         checks = 0
         for free, runner in self._fleet.decode_runners.most_free():
-            if free < ask.tokens_to_read or checks == ROOM_CANDIDATES:
+            if free < ask.prefill_tokens or checks == ROOM_CANDIDATES:
                 return False
             if self._rank(ask, outlook, runner, now_s) is not None:
                 return True
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -27,7 +27,7 @@
     """
     if entry_hosts <= 1:
         return True
-    return ask.tokens_to_read <= LONGEST_SELF_READ_TOKENS
+    return ask.prefill_tokens <= LONGEST_SELF_READ_TOKENS
 
 
 def choose_decode(
--- a/limpetroute/routing/placement.py
+++ b/limpetroute/routing/placement.py
@@ -74,7 +74,7 @@
     silence_s: float = USUAL_SILENCE_S
 
     @property
-    def tokens_to_read(self) -> int:
+    def prefill_tokens(self) -> int:
         """Tokens that a runner reads before it writes."""
         return self.prompt_tokens + self.written_tokens
 
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -154,9 +154,9 @@
     ) -> float:
         """Return the time from a place to the first event, as measured."""
         if has_reader:
-            read_s = ask.tokens_to_read / self.tokens_per_s
+            read_s = ask.prefill_tokens / self.tokens_per_s
             return stream_times.OVERHEAD_S + read_s
-        read_s = ask.tokens_to_read / self.self_read_speed()
+        read_s = ask.prefill_tokens / self.self_read_speed()
         return self._self_reads.overhead_s + read_s
 
     def speed(self, reader: runner_info.RunnerInfo | None) -> float:
@@ -179,7 +179,7 @@
         """Return the longest time between two events beside its prefill."""
         if reader is not None:
             return 0.0
-        read_s = ask.tokens_to_read / self.self_read_speed()
+        read_s = ask.prefill_tokens / self.self_read_speed()
         return reading_pause.pause_s(
             read_s,
             event_s=self._event_s,
@@ -223,7 +223,7 @@
         return reading_pause.pace(self._reservations.tokens_per_s)
 
     @property
-    def writers_read_well(self) -> bool:
+    def decodes_during_prefill(self) -> bool:
         """Whether streams go on while their runner reads a prompt.
 
         Where they all but stand still, each prompt that a writer reads
@@ -245,7 +245,7 @@
         now_s: float,
     ) -> None:
         """Take note of who reads a prompt from now on."""
-        own_tokens = ask.written_tokens if reader else ask.tokens_to_read
+        own_tokens = ask.written_tokens if reader else ask.prefill_tokens
         if own_tokens:
             begins_s = 0.0
             if reader is not None:
@@ -338,7 +338,9 @@
         self._sort(runner_id)
         self._self_reads.reset_runner(runner_id)
 
-    def is_idle(self, decoder: runner_info.RunnerInfo, now_s: float) -> bool:
+    def may_self_prefill(
+        self, decoder: runner_info.RunnerInfo, now_s: float
+    ) -> bool:
         """Return whether a decode runner may read a prompt now.
 
         Its own streams stand still while it reads: it takes one prompt
@@ -346,9 +348,9 @@
         """
         if not self._reservations.streams(decoder.runner_id):
             return True
-        return self.self_read_s(decoder, now_s) <= now_s
+        return self.self_prefill_free_s(decoder, now_s) <= now_s
 
-    def may_read_long(
+    def may_prefill_long(
         self, decoder: runner_info.RunnerInfo, *, on_time: bool = True
     ) -> bool:
         """Return whether a decode runner may read a prompt of any length.
@@ -369,7 +371,7 @@
         pause_s = self.pause_beside_s(ask, None)
         return reading_pause.is_too_long(pause_s, limit_s)
 
-    def self_read_s(
+    def self_prefill_free_s(
         self, decoder: runner_info.RunnerInfo, now_s: float
     ) -> float:
         """Return when a decode runner has read what it was given."""
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -286,7 +286,7 @@
         expected = self.expected_tokens(ask)
         written = ask.written_tokens
         return decode_room.StreamOutlook(
-            prompt_tokens=ask.tokens_to_read,
+            prompt_tokens=ask.prefill_tokens,
             output_tokens=max(0, expected - written),
             most_output_tokens=max(0, ask.most_output_tokens - written),
             begins_s=begins_s,
--- a/limpetroute/routing/room_probe.py
+++ b/limpetroute/routing/room_probe.py
@@ -39,7 +39,7 @@
 
     def has_room(self, ask: placement.PlacementRequest) -> bool:
         """Return whether a decode runner has room for a stream."""
-        tokens = ask.tokens_to_read
+        tokens = ask.prefill_tokens
         if ask.avoid:
             return self._decode_placement.has_room(ask, self._now_s)
         if tokens <= self._fitting_tokens:
--- a/limpetroute/routing/runner_choice.py
+++ b/limpetroute/routing/runner_choice.py
@@ -86,7 +86,10 @@
         if reader is not None and self._reader_is_busy:
             # A decode runner with room that reads the prompt itself is
             # slower, but may be done sooner than the queue.
-            if not self._prefill.writers_read_well or not self._idle_runners:
+            if (
+                not self._prefill.decodes_during_prefill
+                or not self._idle_runners
+            ):
                 return None
             ready_s = self._prefill.ready_s(ask, None, self._now_s)
             if ready_s >= self._prefill.ready_s(ask, reader, self._now_s):
@@ -139,7 +142,7 @@
             idle = [
                 runner
                 for runner in idle
-                if self._prefill.may_read_long(runner, on_time=on_time)
+                if self._prefill.may_prefill_long(runner, on_time=on_time)
             ]
         return self._decode_placement.best_of(
             one.ask, idle, ready_s, self._now_s
@@ -152,6 +155,6 @@
             self._idle = [
                 one
                 for _, one in self._fleet.decode_runners.most_free()
-                if self._prefill.is_idle(one, self._now_s)
+                if self._prefill.may_self_prefill(one, self._now_s)
             ]
         return self._idle
--- a/limpetroute/routing/self_prefill.py
+++ b/limpetroute/routing/self_prefill.py
@@ -31,11 +31,11 @@
         self._all = _Soonest()
         self._quiet = _Soonest()
         for free, runner in fleet.decode_runners.most_free():
-            is_quiet = prefill.may_read_long(runner)
+            is_quiet = prefill.may_prefill_long(runner)
             self.has_quiet = self.has_quiet or is_quiet
             if free <= 0:
                 continue
-            at_s = prefill.self_read_s(runner, now_s)
+            at_s = prefill.self_prefill_free_s(runner, now_s)
             self._all.add(free, at_s)
             if is_quiet:
                 self._quiet.add(free, at_s)
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -189,7 +189,7 @@
             ask=ask,
             sent_s=sent_s,
             first_sent_s=first_sent_s,
-            tokens=ask.tokens_to_read,
+            tokens=ask.prefill_tokens,
         )
         self._waiting.add(stream, self._in_time(stream, now_s))
         self._has_new = True
--- a/limpetroute/routing/stream_times.py
+++ b/limpetroute/routing/stream_times.py
@@ -32,5 +32,5 @@
     waited_s = ask.waited_s + wait_s
     if ask.goes_on:
         return waited_s < max_wait_s(ask)
-    read_s = ask.tokens_to_read / stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
+    read_s = ask.prefill_tokens / stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
     return waited_s + OVERHEAD_S + read_s < ask.target_s
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -95,7 +95,7 @@
         if not self._fleet.prefill_runners or not ask.reads_prompt:
             return min(self.place_s(ahead), self._self_read_s(ask, ahead))
         queue_s = self._queue_turn_s(ahead)
-        if self._prefill.writers_read_well:
+        if self._prefill.decodes_during_prefill:
             queue_s = min(queue_s, self._self_read_s(ask, ahead))
         if has_room:
             return queue_s
@@ -135,7 +135,7 @@
             soonest_s, count = self._soonest_with_room(ask)
         else:
             soonest_s, count = self._self_reading.soonest(
-                ask.tokens_to_read, only_quiet=self._prefill.is_long(ask)
+                ask.prefill_tokens, only_quiet=self._prefill.is_long(ask)
             )
         if not count:
             return math.inf
@@ -147,9 +147,9 @@
         """Return when the first with room may read, and how many have it."""
         only_quiet = self._prefill.is_long(ask)
         found_s = [
-            self._prefill.self_read_s(runner, self._now_s)
+            self._prefill.self_prefill_free_s(runner, self._now_s)
             for runner in self._fleet.decode_runners
-            if not (only_quiet and not self._prefill.may_read_long(runner))
+            if not (only_quiet and not self._prefill.may_prefill_long(runner))
             and self._decode_placement.fits(ask, runner, self._now_s)
         ]
         return min(found_s, default=math.inf), len(found_s)
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -13,7 +13,7 @@
         ask=ask,
         sent_s=sent_s,
         first_sent_s=first_sent_s,
-        tokens=ask.tokens_to_read,
+        tokens=ask.prefill_tokens,
     )
 
 
