--- a/limpetroute/routing/admission.py
+++ b/limpetroute/routing/admission.py
@@ -21,17 +21,19 @@
         return f'{type(self).__name__}(retries={self._retries!r})'
 
     def first_sent_s(
-        self, ask: placement.PlacementRequest, sent_s: float, now_s: float
+        self, request: placement.PlacementRequest, sent_s: float, now_s: float
     ) -> float:
         """Return when a stream's caller asked for the first time."""
-        first_s = self._retries.first_sent_s(ask, sent_s, now_s)
-        if first_s == sent_s and not ask.goes_on:
+        first_s = self._retries.first_sent_s(request, sent_s, now_s)
+        if first_s == sent_s and not request.goes_on:
             self._retry_after.note_new(now_s)
         return first_s
 
-    def served(self, ask: placement.PlacementRequest, now_s: float) -> None:
+    def served(
+        self, request: placement.PlacementRequest, now_s: float
+    ) -> None:
         """Forget a stream that got a place."""
-        self._retries.served(ask, now_s)
+        self._retries.served(request, now_s)
 
     def released(self, now_s: float) -> None:
         """Count a place that became free."""
@@ -54,14 +56,14 @@
         now_s : float
             A steady clock.
         """
-        ask = stream.ask
-        self._retries.note(ask, stream.first_sent_s, now_s)
-        left_s = ask.patience_s - (now_s - stream.sent_s)
+        request = stream.request
+        self._retries.note(request, stream.first_sent_s, now_s)
+        left_s = request.patience_s - (now_s - stream.sent_s)
         served_part = self._retries.served_part(now_s)
         if served_part is not None and served_part < LEAST_SERVED_PART:
             # Told less, most would come back for a second refusal.
             return placement.Rejection(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 retry_after_s=max(retry_after.MIN_RETRY_AFTER_S, left_s),
                 reason='no place before its deadline',
             )
@@ -72,7 +74,7 @@
             now_s=now_s,
         )
         return placement.Rejection(
-            request_id=ask.request_id,
+            request_id=request.request_id,
             retry_after_s=wait_s,
             reason='no place in time',
         )
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -57,7 +57,7 @@
         return f'{type(self).__name__}(fit_checks={self.fit_checks!r})'
 
     def best(
-        self, ask: placement.PlacementRequest, ready_s: float, now_s: float
+        self, request: placement.PlacementRequest, ready_s: float, now_s: float
     ) -> runner_info.RunnerInfo | None:
         """Return the decode runner with most memory left, if one has room.
 
@@ -65,32 +65,32 @@
         none that follows can be better; those of the caller's zone first.
         """
         decoders = self._fleet.decode_runners
-        outlook = self._reservations.outlook(ask, ready_s)
+        outlook = self._reservations.outlook(request, ready_s)
         bonus = self._engine.memory_tokens * SAME_ZONE_BONUS
         best = None
         best_rank = 0.0
-        if ask.zone:
-            for free, runner in decoders.most_free(ask.zone):
-                most = free - ask.prefill_tokens
+        if request.zone:
+            for free, runner in decoders.most_free(request.zone):
+                most = free - request.prefill_tokens
                 if most < 0 or (best and most + bonus <= best_rank):
                     break
-                rank = self._rank(ask, outlook, runner, now_s)
+                rank = self._rank(request, outlook, runner, now_s)
                 if rank is not None and (best is None or rank > best_rank):
                     best, best_rank = runner, rank
         for free, runner in decoders.most_free():
-            most = free - ask.prefill_tokens
+            most = free - request.prefill_tokens
             if most < 0 or (best and most <= best_rank):
                 break
-            if ask.zone and runner.zone == ask.zone:
+            if request.zone and runner.zone == request.zone:
                 continue
-            rank = self._rank(ask, outlook, runner, now_s)
+            rank = self._rank(request, outlook, runner, now_s)
             if rank is not None and (best is None or rank > best_rank):
                 best, best_rank = runner, rank
         return best
 
     def best_of(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         runners: typing.Iterable[runner_info.RunnerInfo],
         ready_s: float,
         now_s: float,
@@ -104,46 +104,48 @@
         best_rank = 0.0
         for runner in runners:
             free = self._fleet.decode_runners.free_tokens(runner.runner_id)
-            if free < ask.prefill_tokens:
+            if free < request.prefill_tokens:
                 break
             if outlook is None:
-                outlook = self._reservations.outlook(ask, ready_s)
-            rank = self._rank(ask, outlook, runner, now_s)
+                outlook = self._reservations.outlook(request, ready_s)
+            rank = self._rank(request, outlook, runner, now_s)
             if rank is not None and (best is None or rank > best_rank):
                 best, best_rank = runner, rank
         return best
 
-    def has_room(self, ask: placement.PlacementRequest, now_s: float) -> bool:
+    def has_room(
+        self, request: placement.PlacementRequest, now_s: float
+    ) -> bool:
         """Return whether a decode runner has room for a stream now."""
-        outlook = self._reservations.outlook(ask, now_s)
+        outlook = self._reservations.outlook(request, now_s)
         checks = 0
         for free, runner in self._fleet.decode_runners.most_free():
-            if free < ask.prefill_tokens or checks == ROOM_CANDIDATES:
+            if free < request.prefill_tokens or checks == ROOM_CANDIDATES:
                 return False
-            if self._rank(ask, outlook, runner, now_s) is not None:
+            if self._rank(request, outlook, runner, now_s) is not None:
                 return True
             checks += 1
         return False
 
     def fits(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> bool:
         """Return whether one decode runner has room for a stream now."""
-        outlook = self._reservations.outlook(ask, now_s)
-        return self._rank(ask, outlook, runner, now_s) is not None
+        outlook = self._reservations.outlook(request, now_s)
+        return self._rank(request, outlook, runner, now_s) is not None
 
     def _rank(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         outlook: decode_room.StreamOutlook,
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> float | None:
         """Return the memory left at a runner, or None without room."""
-        if runner.runner_id in ask.avoid:
+        if runner.runner_id in request.avoid:
             return None
         taken = self._reservations.streams(runner.runner_id)
         hidden = self._outliers.hidden(runner.runner_id, now_s)
@@ -158,6 +160,6 @@
         if peak > room:
             return None
         rank = room - peak
-        if runner.zone == ask.zone:
+        if runner.zone == request.zone:
             rank += room * SAME_ZONE_BONUS
         return rank
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -15,7 +15,7 @@
 
 
 def may_self_prefill_locally(
-    ask: placement.PlacementRequest, *, entry_hosts: int
+    request: placement.PlacementRequest, *, entry_hosts: int
 ) -> bool:
     """Return whether a host may have a decode runner read this prompt.
 
@@ -27,7 +27,7 @@
     """
     if entry_hosts <= 1:
         return True
-    return ask.prefill_tokens <= LONGEST_SELF_READ_TOKENS
+    return request.prefill_tokens <= LONGEST_SELF_READ_TOKENS
 
 
 def choose_decode(
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -138,7 +138,7 @@
 
     def ready_s(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         reader: runner_info.RunnerInfo | None,
         now_s: float,
     ) -> float:
@@ -147,16 +147,16 @@
         if reader is not None:
             queue_s = self.queue_s(reader, now_s)
         has_reader = reader is not None
-        return now_s + queue_s + self.to_first_event_s(ask, has_reader)
+        return now_s + queue_s + self.to_first_event_s(request, has_reader)
 
     def to_first_event_s(
-        self, ask: placement.PlacementRequest, has_reader: bool
+        self, request: placement.PlacementRequest, has_reader: bool
     ) -> float:
         """Return the time from a place to the first event, as measured."""
         if has_reader:
-            read_s = ask.prefill_tokens / self.tokens_per_s
+            read_s = request.prefill_tokens / self.tokens_per_s
             return stream_times.OVERHEAD_S + read_s
-        read_s = ask.prefill_tokens / self.self_read_speed()
+        read_s = request.prefill_tokens / self.self_read_speed()
         return self._self_reads.overhead_s + read_s
 
     def speed(self, reader: runner_info.RunnerInfo | None) -> float:
@@ -173,13 +173,13 @@
 
     def pause_beside_s(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         reader: runner_info.RunnerInfo | None,
     ) -> float:
         """Return the longest time between two events beside its prefill."""
         if reader is not None:
             return 0.0
-        read_s = ask.prefill_tokens / self.self_read_speed()
+        read_s = request.prefill_tokens / self.self_read_speed()
         return reading_pause.pause_s(
             read_s,
             event_s=self._event_s,
@@ -239,21 +239,25 @@
 
     def take(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         reader: runner_info.RunnerInfo | None,
         decoder: runner_info.RunnerInfo,
         now_s: float,
     ) -> None:
         """Take note of who reads a prompt from now on."""
-        own_tokens = ask.written_tokens if reader else ask.prefill_tokens
+        own_tokens = (
+            request.written_tokens if reader else request.prefill_tokens
+        )
         if own_tokens:
             begins_s = 0.0
             if reader is not None:
                 begins_s = self.queue_s(reader, now_s)
-                begins_s += ask.prompt_tokens / self._speed(reader.runner_id)
+                begins_s += request.prompt_tokens / self._speed(
+                    reader.runner_id
+                )
             speed = self.self_read_speed(decoder.runner_id)
             self._self_reads.begin(
-                ask,
+                request,
                 decoder.runner_id,
                 tokens=own_tokens,
                 read_s=begins_s + own_tokens / speed,
@@ -261,16 +265,16 @@
             )
         if reader is None:
             return
-        self._remove((ask.request_id, ask.attempt))
+        self._remove((request.request_id, request.attempt))
         self._lapse(now_s)
-        cached = self._read_prompts.note(reader.runner_id, ask)
+        cached = self._read_prompts.note(reader.runner_id, request)
         self._cached[reader.runner_id] += cached
         ahead = self._queued.get(reader.runner_id, 0)
-        self._queued[reader.runner_id] = ahead + ask.prompt_tokens
-        self._readings[(ask.request_id, ask.attempt)] = _Reading(
+        self._queued[reader.runner_id] = ahead + request.prompt_tokens
+        self._readings[(request.request_id, request.attempt)] = _Reading(
             reader_id=reader.runner_id,
-            tokens=ask.prompt_tokens,
-            queued_tokens=ahead + ask.prompt_tokens,
+            tokens=request.prompt_tokens,
+            queued_tokens=ahead + request.prompt_tokens,
             since_s=now_s,
             cached=cached,
             measures=not self._cached[reader.runner_id],
@@ -365,10 +369,10 @@
         made_late = self._reservations.on_time(decoder.runner_id)
         return made_late <= (MOST_MADE_LATE if on_time else 0)
 
-    def is_long(self, ask: placement.PlacementRequest) -> bool:
+    def is_long(self, request: placement.PlacementRequest) -> bool:
         """Return whether reading it holds streams up for too long."""
-        limit_s = ask.pause_target_s or USUAL_PAUSE_S
-        pause_s = self.pause_beside_s(ask, None)
+        limit_s = request.pause_target_s or USUAL_PAUSE_S
+        pause_s = self.pause_beside_s(request, None)
         return reading_pause.is_too_long(pause_s, limit_s)
 
     def self_prefill_free_s(
--- a/limpetroute/routing/read_prompts.py
+++ b/limpetroute/routing/read_prompts.py
@@ -23,11 +23,13 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(known={len(self._known)!r})'
 
-    def note(self, runner_id: str, ask: placement.PlacementRequest) -> bool:
+    def note(
+        self, runner_id: str, request: placement.PlacementRequest
+    ) -> bool:
         """Take note of a prompt; return whether it was read there before."""
-        if not ask.prompt_id:
+        if not request.prompt_id:
             return False
-        key = (runner_id, f'{ask.prompt_id} {ask.prompt_tokens}')
+        key = (runner_id, f'{request.prompt_id} {request.prompt_tokens}')
         was_known = key in self._known
         self._known[key] = None
         self._known.move_to_end(key)
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -30,7 +30,7 @@
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Reservation:
     place: placement.Placement
-    ask: placement.PlacementRequest
+    request: placement.PlacementRequest
     outlook: decode_room.StreamOutlook
     due_s: float
     expires_s: float
@@ -121,7 +121,7 @@
     def add(
         self,
         place: placement.Placement,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         *,
         sent_s: float,
         begins_s: float,
@@ -144,10 +144,10 @@
         """
         reserved = _Reservation(
             place=place,
-            ask=ask,
-            outlook=self.outlook(ask, begins_s),
-            due_s=sent_s + ask.target_s,
-            expires_s=sent_s + ask.patience_s + 1.0,
+            request=request,
+            outlook=self.outlook(request, begins_s),
+            due_s=sent_s + request.target_s,
+            expires_s=sent_s + request.patience_s + 1.0,
         )
         name = place.request_id
         self._remove(name)
@@ -164,7 +164,7 @@
     def drop(self, request_id: str) -> int | None:
         """Forget a reservation, learn nothing, and return its attempt."""
         reserved = self._remove(request_id)
-        return reserved.ask.attempt if reserved is not None else None
+        return reserved.request.attempt if reserved is not None else None
 
     def end(self, end: placement.Release) -> placement.Placement | None:
         """Release a slot, learn from its stream, and return its placement.
@@ -178,15 +178,15 @@
         if end.decode_s > LEAST_MEASURED_S and end.output_tokens:
             self._speed.note(end.output_tokens / end.decode_s)
         reserved = self._reserved.get(end.request_id)
-        if reserved is None or reserved.ask.attempt != end.attempt:
+        if reserved is None or reserved.request.attempt != end.attempt:
             return None
         self._remove(end.request_id)
         self._note_pace(reserved.place.decode_id, end)
-        if end.whole and not reserved.ask.goes_on:
+        if end.whole and not reserved.request.goes_on:
             error = end.output_tokens - reserved.outlook.output_tokens
             self._note_error(error)
             self._lengths.learn(
-                said_tokens=reserved.ask.output_tokens,
+                said_tokens=reserved.request.output_tokens,
                 came_tokens=end.output_tokens,
             )
         return reserved.place
@@ -272,23 +272,23 @@
             self._put_end(request_id, max(later_s, outlook.ends_s(now_s)))
         return [end_s for end_s, _ in self._ends.islice(0, count)]
 
-    def expected_tokens(self, ask: placement.PlacementRequest) -> int:
+    def expected_tokens(self, request: placement.PlacementRequest) -> int:
         """Return how long a stream's whole answer should become."""
         return self._lengths.tokens(
-            said_tokens=ask.output_tokens,
-            most_tokens=ask.most_output_tokens,
+            said_tokens=request.output_tokens,
+            most_tokens=request.most_output_tokens,
         )
 
     def outlook(
-        self, ask: placement.PlacementRequest, begins_s: float
+        self, request: placement.PlacementRequest, begins_s: float
     ) -> decode_room.StreamOutlook:
         """Return how a stream's memory grows if it begins then."""
-        expected = self.expected_tokens(ask)
-        written = ask.written_tokens
+        expected = self.expected_tokens(request)
+        written = request.written_tokens
         return decode_room.StreamOutlook(
-            prompt_tokens=ask.prefill_tokens,
+            prompt_tokens=request.prefill_tokens,
             output_tokens=max(0, expected - written),
-            most_output_tokens=max(0, ask.most_output_tokens - written),
+            most_output_tokens=max(0, request.most_output_tokens - written),
             begins_s=begins_s,
             tokens_per_s=self._speed.mean,
         )
--- a/limpetroute/routing/retry_tracker.py
+++ b/limpetroute/routing/retry_tracker.py
@@ -47,32 +47,32 @@
         return f'{type(self).__name__}(known={len(self._refused)!r})'
 
     def first_sent_s(
-        self, ask: placement.PlacementRequest, sent_s: float, now_s: float
+        self, request: placement.PlacementRequest, sent_s: float, now_s: float
     ) -> float:
         """Return when a stream's caller asked for the first time."""
-        known = self._refused.get(_key(ask))
+        known = self._refused.get(_key(request))
         if known is None or now_s > known.forget_s:
             return sent_s
-        self._stop_waiting(_key(ask), known)
+        self._stop_waiting(_key(request), known)
         return min(sent_s, known.first_sent_s)
 
     def note(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         first_sent_s: float,
         now_s: float,
     ) -> None:
         """Take note of a stream that is refused."""
-        if not ask.prompt_id:
+        if not request.prompt_id:
             return
-        self._note_outcome(ask, now_s, served=False)
-        self._remove(_key(ask))
+        self._note_outcome(request, now_s, served=False)
+        self._remove(_key(request))
         refused = _Refused(
             first_sent_s=first_sent_s,
-            forget_s=now_s + ask.patience_s - ask.waited_s,
+            forget_s=now_s + request.patience_s - request.waited_s,
         )
-        self._refused[_key(ask)] = refused
-        self._awaited.add((refused.forget_s, _key(ask)))
+        self._refused[_key(request)] = refused
+        self._awaited.add((refused.forget_s, _key(request)))
         self._forget(now_s)
 
     def expected(self, now_s: float) -> int:
@@ -80,10 +80,12 @@
         over = self._awaited.bisect_left((now_s, ''))
         return len(self._awaited) - over
 
-    def served(self, ask: placement.PlacementRequest, now_s: float) -> None:
+    def served(
+        self, request: placement.PlacementRequest, now_s: float
+    ) -> None:
         """Forget a stream that got a place."""
-        self._note_outcome(ask, now_s, served=True)
-        self._remove(_key(ask))
+        self._note_outcome(request, now_s, served=True)
+        self._remove(_key(request))
 
     def served_part(self, now_s: float) -> float | None:
         """Return which part of those who came back of late got a place.
@@ -98,9 +100,13 @@
         return sum(served for _, served in outcomes) / len(outcomes)
 
     def _note_outcome(
-        self, ask: placement.PlacementRequest, now_s: float, *, served: bool
+        self,
+        request: placement.PlacementRequest,
+        now_s: float,
+        *,
+        served: bool,
     ) -> None:
-        known = self._refused.get(_key(ask))
+        known = self._refused.get(_key(request))
         if known is not None and known.is_back:
             self._outcomes.append((now_s, served))
 
@@ -124,10 +130,10 @@
             self._awaited.remove((known.forget_s, key))
 
 
-def _key(ask: placement.PlacementRequest) -> str:
+def _key(request: placement.PlacementRequest) -> str:
     """Return what names a prompt, whoever asks for it again.
 
     A session may send several prompts under one name; their sizes tell
     them apart.
     """
-    return f'{ask.prompt_id} {ask.prompt_tokens} {ask.most_output_tokens}'
+    return f'{request.prompt_id} {request.prompt_tokens} {request.most_output_tokens}'
--- a/limpetroute/routing/room_probe.py
+++ b/limpetroute/routing/room_probe.py
@@ -37,16 +37,16 @@
             f'failing_tokens={self._failing_tokens!r})'
         )
 
-    def has_room(self, ask: placement.PlacementRequest) -> bool:
+    def has_room(self, request: placement.PlacementRequest) -> bool:
         """Return whether a decode runner has room for a stream."""
-        tokens = ask.prefill_tokens
-        if ask.avoid:
-            return self._decode_placement.has_room(ask, self._now_s)
+        tokens = request.prefill_tokens
+        if request.avoid:
+            return self._decode_placement.has_room(request, self._now_s)
         if tokens <= self._fitting_tokens:
             return True
         if tokens >= self._failing_tokens:
             return False
-        if self._decode_placement.has_room(ask, self._now_s):
+        if self._decode_placement.has_room(request, self._now_s):
             self._fitting_tokens = tokens
             return True
         self._failing_tokens = tokens
--- a/limpetroute/routing/runner_choice.py
+++ b/limpetroute/routing/runner_choice.py
@@ -81,7 +81,7 @@
 
         They are expected to be taken before the next stream is asked for.
         """
-        ask = one.ask
+        ask = one.request
         reader = self._first_free_reader() if ask.reads_prompt else None
         if reader is not None and self._reader_is_busy:
             # A decode runner with room that reads the prompt itself is
@@ -126,9 +126,9 @@
     ) -> runner_info.RunnerInfo | None:
         if one.fits_nowhere:
             return self._decode_placement.best_of(
-                one.ask, self._freed, ready_s, self._now_s
+                one.request, self._freed, ready_s, self._now_s
             )
-        found = self._decode_placement.best(one.ask, ready_s, self._now_s)
+        found = self._decode_placement.best(one.request, ready_s, self._now_s)
         one.fits_nowhere = found is None
         return found
 
@@ -137,15 +137,15 @@
     ) -> runner_info.RunnerInfo | None:
         """Return the best decode runner that may read a prompt now."""
         idle = self._idle_runners
-        if self._prefill.is_long(one.ask):
-            on_time = one.is_on_time(ready_s)
+        if self._prefill.is_long(one.request):
+            on_time = one.meets_targets(ready_s)
             idle = [
                 runner
                 for runner in idle
                 if self._prefill.may_prefill_long(runner, on_time=on_time)
             ]
         return self._decode_placement.best_of(
-            one.ask, idle, ready_s, self._now_s
+            one.request, idle, ready_s, self._now_s
         )
 
     @property
--- a/limpetroute/routing/self_prefill_tracker.py
+++ b/limpetroute/routing/self_prefill_tracker.py
@@ -76,7 +76,7 @@
 
     def begin(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         runner_id: str,
         *,
         tokens: int,
@@ -98,8 +98,8 @@
         now_s : float
             A steady clock.
         """
-        key = (ask.request_id, ask.attempt)
-        was_read = self._read_prompts.note(runner_id, ask)
+        key = (request.request_id, request.attempt)
+        was_read = self._read_prompts.note(runner_id, request)
         overdue_s = max(LEAST_OVERDUE_S, read_s * OVERDUE_FACTOR)
         self._readings[key] = _Reading(
             runner_id=runner_id,
@@ -107,7 +107,7 @@
             ends_s=now_s + read_s,
             lapses_s=now_s + overdue_s,
             # Of a resumed stream, some runner has the prompt in its cache.
-            measures=not was_read and not ask.goes_on,
+            measures=not was_read and not request.goes_on,
         )
         self._of_runner[runner_id] = key
 
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -173,23 +173,25 @@
         self._prefill.reset_runner(runner_id)
         self._outliers.forget(runner_id)
 
-    def submit(self, ask: placement.PlacementRequest, now_s: float) -> None:
+    def submit(
+        self, request: placement.PlacementRequest, now_s: float
+    ) -> None:
         """Take a stream; `decide` tells what it gets.
 
         One that asks again has given its place back, and what says so
         may come later or never.
         """
-        self._drop(ask.request_id)
-        sent_s = now_s - ask.waited_s
-        first_sent_s = self._admission.first_sent_s(ask, sent_s, now_s)
-        if first_sent_s == sent_s and not ask.goes_on:
-            self._prompt_size.note(ask.prompt_tokens)
-            self._output_size.note(self._reservations.expected_tokens(ask))
+        self._drop(request.request_id)
+        sent_s = now_s - request.waited_s
+        first_sent_s = self._admission.first_sent_s(request, sent_s, now_s)
+        if first_sent_s == sent_s and not request.goes_on:
+            self._prompt_size.note(request.prompt_tokens)
+            self._output_size.note(self._reservations.expected_tokens(request))
         stream = waiting_stream.WaitingStream(
-            ask=ask,
+            request=request,
             sent_s=sent_s,
             first_sent_s=first_sent_s,
-            tokens=ask.prefill_tokens,
+            tokens=request.prefill_tokens,
         )
         self._waiting.add(stream, self._in_time(stream, now_s))
         self._has_new = True
@@ -237,7 +239,7 @@
     def restore(
         self,
         place: placement.Placement,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         now_s: float,
     ) -> None:
         """Take note of a place that another host gave before."""
@@ -245,10 +247,10 @@
             return
         self._reservations.add(
             place,
-            ask,
-            sent_s=now_s - ask.waited_s,
+            request,
+            sent_s=now_s - request.waited_s,
             begins_s=now_s,
-            on_time=not ask.goes_on,
+            on_time=not request.goes_on,
         )
 
     def decide(
@@ -292,8 +294,8 @@
     def _in_time(self, one: waiting_stream.WaitingStream, at_s: float) -> bool:
         """Return whether a place given then makes the stream's target."""
         has_reader = bool(self._fleet.prefill_runners)
-        needed_s = self._prefill.to_first_event_s(one.ask, has_reader)
-        return one.in_time(at_s, needed_s)
+        needed_s = self._prefill.to_first_event_s(one.request, has_reader)
+        return one.can_meet_target(at_s, needed_s)
 
     # Placement
 
@@ -331,7 +333,7 @@
             # One that cannot be read yet waits for streams to end, not
             # for room: room that is kept free for it would stand empty.
             if waited_s > HEAD_OF_LINE_TIMEOUT_S and (
-                self._estimate.can_be_read(one.ask)
+                self._estimate.can_be_read(one.request)
             ):
                 break
         return placements
@@ -358,13 +360,13 @@
         if reader is not None:
             self._limits.take(reader.runner_id, now_s)
         self._waiting.remove(one.request_id)
-        self._admission.served(one.ask, now_s)
-        self._prefill.take(one.ask, reader, chosen.decoder, now_s)
-        if reader is None and self._prefill.is_long(one.ask):
+        self._admission.served(one.request, now_s)
+        self._prefill.take(one.request, reader, chosen.decoder, now_s)
+        if reader is None and self._prefill.is_long(one.request):
             self._reservations.note_long_pause(place.decode_id)
         self._reservations.add(
             place,
-            one.ask,
+            one.request,
             sent_s=one.sent_s,
             begins_s=chosen.ready_s,
             on_time=expected.in_time,
@@ -380,11 +382,11 @@
     ) -> forecast.Forecast:
         decode_id = chosen.decoder.runner_id
         return forecast.Forecast(
-            queued_s=now_s - one.sent_s - one.ask.waited_s,
+            queued_s=now_s - one.sent_s - one.request.waited_s,
             first_event_s=chosen.ready_s - one.sent_s,
-            in_time=one.is_on_time(chosen.ready_s),
+            in_time=one.meets_targets(chosen.ready_s),
             beside=self._reservations.streams(decode_id),
-            pause_s=self._prefill.pause_beside_s(one.ask, chosen.reader),
+            pause_s=self._prefill.pause_beside_s(one.request, chosen.reader),
             read_tokens_per_s=self._prefill.speed(chosen.reader),
         )
 
@@ -408,22 +410,22 @@
         ahead = 0
         late = 0
         for one in self._waiting.in_order(late_first=late_first):
-            if full or not one.is_known:
-                one.is_known = True
-                has_room = not one.fits_nowhere and room.has_room(one.ask)
-                turn_s = self._estimate.turn_s(one.ask, ahead, has_room)
+            if full or not one.is_examined:
+                one.is_examined = True
+                has_room = not one.fits_nowhere and room.has_room(one.request)
+                turn_s = self._estimate.turn_s(one.request, ahead, has_room)
                 too_late = turn_s - one.sent_s > one.max_wait_s
-                one.counts_ahead = has_decoder and (
+                one.counts_in_queue = has_decoder and (
                     self._in_time(one, turn_s)
-                    or (one.ask.goes_on and not too_late)
+                    or (one.request.goes_on and not too_late)
                 )
                 overdue = now_s - one.sent_s > one.max_wait_s
-                if not one.counts_ahead and (
+                if not one.counts_in_queue and (
                     not has_decoder or late >= late_room or too_late or overdue
                 ):
                     rejections.append(self._reject(one, now_s))
                     continue
-            if one.counts_ahead:
+            if one.counts_in_queue:
                 ahead += 1
             else:
                 late += 1
--- a/limpetroute/routing/stream_times.py
+++ b/limpetroute/routing/stream_times.py
@@ -15,22 +15,22 @@
 LAST_CHANCE_TO_BEGIN_S = 1.2
 
 
-def max_wait_s(ask: placement.PlacementRequest) -> float:
+def max_wait_s(request: placement.PlacementRequest) -> float:
     """Return how long after its last event a place is still worth giving."""
-    if ask.goes_on:
-        return ask.silence_s - LAST_CHANCE_S
-    return ask.silence_s - LAST_CHANCE_TO_BEGIN_S
+    if request.goes_on:
+        return request.silence_s - LAST_CHANCE_S
+    return request.silence_s - LAST_CHANCE_TO_BEGIN_S
 
 
-def may_wait(ask: placement.PlacementRequest, wait_s: float) -> bool:
+def may_wait(request: placement.PlacementRequest, wait_s: float) -> bool:
     """Return whether a stream is worth beginning after another wait.
 
     Where nobody decides, room and a leader may come within moments; who
     waits beyond the target for them would be better off coming back. Its
     host knows no measured times, and goes by the first guess.
     """
-    waited_s = ask.waited_s + wait_s
-    if ask.goes_on:
-        return waited_s < max_wait_s(ask)
-    read_s = ask.prefill_tokens / stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
-    return waited_s + OVERHEAD_S + read_s < ask.target_s
+    waited_s = request.waited_s + wait_s
+    if request.goes_on:
+        return waited_s < max_wait_s(request)
+    read_s = request.prefill_tokens / stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
+    return waited_s + OVERHEAD_S + read_s < request.target_s
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -78,25 +78,25 @@
         ):
             self._self_readers = None
 
-    def can_be_read(self, ask: placement.PlacementRequest) -> bool:
+    def can_be_read(self, request: placement.PlacementRequest) -> bool:
         """Return whether some runner may read a prompt once it is free."""
-        if ask.reads_prompt and self._fleet.prefill_runners:
+        if request.reads_prompt and self._fleet.prefill_runners:
             return True
-        if not self._prefill.is_long(ask):
+        if not self._prefill.is_long(request):
             return bool(self._fleet.decode_runners)
         return self._self_reading.has_quiet
 
     def turn_s(
-        self, ask: placement.PlacementRequest, ahead: int, has_room: bool
+        self, request: placement.PlacementRequest, ahead: int, has_room: bool
     ) -> float:
         """Return when a stream gets its place, after those ahead."""
-        if not self.can_be_read(ask):
+        if not self.can_be_read(request):
             return self._quiet_s()
-        if not self._fleet.prefill_runners or not ask.reads_prompt:
-            return min(self.place_s(ahead), self._self_read_s(ask, ahead))
+        if not self._fleet.prefill_runners or not request.reads_prompt:
+            return min(self.place_s(ahead), self._self_read_s(request, ahead))
         queue_s = self._queue_turn_s(ahead)
         if self._prefill.decodes_during_prefill:
-            queue_s = min(queue_s, self._self_read_s(ask, ahead))
+            queue_s = min(queue_s, self._self_read_s(request, ahead))
         if has_room:
             return queue_s
         return max(queue_s, self.place_s(ahead))
@@ -124,7 +124,7 @@
         return self._now_s + max(0.0, wait_s)
 
     def _self_read_s(
-        self, ask: placement.PlacementRequest, ahead: int
+        self, request: placement.PlacementRequest, ahead: int
     ) -> float:
         """Return when a decode runner with room may read a prompt.
 
@@ -132,25 +132,26 @@
         waited for, not for the end of one of its streams.
         """
         if len(self._fleet.decode_runners) <= prefill_queue.FEW_RUNNERS:
-            soonest_s, count = self._soonest_with_room(ask)
+            soonest_s, count = self._soonest_with_room(request)
         else:
             soonest_s, count = self._self_reading.soonest(
-                ask.prefill_tokens, only_quiet=self._prefill.is_long(ask)
+                request.prefill_tokens,
+                only_quiet=self._prefill.is_long(request),
             )
         if not count:
             return math.inf
         return soonest_s + ahead * self._prefill.self_read_each_s / count
 
     def _soonest_with_room(
-        self, ask: placement.PlacementRequest
+        self, request: placement.PlacementRequest
     ) -> tuple[float, int]:
         """Return when the first with room may read, and how many have it."""
-        only_quiet = self._prefill.is_long(ask)
+        only_quiet = self._prefill.is_long(request)
         found_s = [
             self._prefill.self_prefill_free_s(runner, self._now_s)
             for runner in self._fleet.decode_runners
             if not (only_quiet and not self._prefill.may_prefill_long(runner))
-            and self._decode_placement.fits(ask, runner, self._now_s)
+            and self._decode_placement.fits(request, runner, self._now_s)
         ]
         return min(found_s, default=math.inf), len(found_s)
 
--- a/limpetroute/routing/waiting_queue.py
+++ b/limpetroute/routing/waiting_queue.py
@@ -42,13 +42,13 @@
     def add(self, stream: waiting_stream.WaitingStream, in_time: bool) -> None:
         """Add a stream, which can make its target or not."""
         self.remove(stream.request_id)
-        ask = stream.ask
+        request = stream.request
         number = next(self._numbers)
         key: tuple[float, ...]
-        if ask.goes_on:
+        if request.goes_on:
             key = (BEGUN, stream.sent_s, number)
         elif in_time:
-            key = (IN_TIME, ask.may_repeat, stream.target_s, number)
+            key = (IN_TIME, request.may_repeat, stream.due_s, number)
         else:
             key = (LATE, stream.sent_s, number)
         self._streams[stream.request_id] = stream
@@ -63,7 +63,7 @@
     def sort(self, in_time: InTime) -> None:
         """Move streams that are late by now, or in time again."""
         for stream in list(self._order.values()):
-            if stream.ask.goes_on:
+            if stream.request.goes_on:
                 continue
             was_in_time = self._keys[stream.request_id][0] == IN_TIME
             is_in_time = in_time(stream)
--- a/limpetroute/routing/waiting_stream.py
+++ b/limpetroute/routing/waiting_stream.py
@@ -29,39 +29,39 @@
         Whether those behind it wait for its turn too.
     """
 
-    ask: placement.PlacementRequest
+    request: placement.PlacementRequest
     sent_s: float
     first_sent_s: float
     tokens: int
-    is_known: bool = False
+    is_examined: bool = False
     fits_nowhere: bool = False
-    counts_ahead: bool = True
+    counts_in_queue: bool = True
 
     @property
     def request_id(self) -> str:
         """Names the stream."""
-        return self.ask.request_id
+        return self.request.request_id
 
     @property
-    def target_s(self) -> float:
+    def due_s(self) -> float:
         """When its first event is due."""
-        return self.first_sent_s + self.ask.target_s
+        return self.first_sent_s + self.request.target_s
 
     @property
     def max_wait_s(self) -> float:
         """How long after `sent_s` a place is still worth giving."""
-        return stream_times.max_wait_s(self.ask)
+        return stream_times.max_wait_s(self.request)
 
-    def is_on_time(self, first_event_s: float) -> bool:
+    def meets_targets(self, first_event_s: float) -> bool:
         """Return whether it meets its targets with a first event then.
 
         The pause before a resumed stream's next event has missed them.
         """
-        return not self.ask.goes_on and first_event_s <= self.target_s
+        return not self.request.goes_on and first_event_s <= self.due_s
 
-    def in_time(self, at_s: float, needed_s: float) -> bool:
+    def can_meet_target(self, at_s: float, needed_s: float) -> bool:
         """Return whether a place given then makes its target.
 
         ``needed_s`` is the time from a place to the first event.
         """
-        return at_s + needed_s <= self.target_s
+        return at_s + needed_s <= self.due_s
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -66,7 +66,7 @@
         )
 
     async def place(self, name, **fields):
-        ask = builders.make_ask(name, **fields)
+        ask = builders.make_request(name, **fields)
         return await self.dispatcher.place(ask)
 
 
--- a/tests/dispatch/test_place_handlers.py
+++ b/tests/dispatch/test_place_handlers.py
@@ -61,7 +61,7 @@
         return await caller.Caller().call(
             method='POST',
             url=f'{url}/v1/places',
-            body=dataclasses.asdict(builders.make_ask('s')),
+            body=dataclasses.asdict(builders.make_request('s')),
             timeout_s=2.0,
         )
 
@@ -72,7 +72,7 @@
     async def work(url):
         client = scheduler_client.SchedulerClient(http=caller.Caller())
         client.follow(url)
-        return await client.ask(builders.make_ask('s'))
+        return await client.ask(builders.make_request('s'))
 
     assert with_leader(work).forecast == EXPECTED
 
--- a/tests/dispatch/test_started_again.py
+++ b/tests/dispatch/test_started_again.py
@@ -24,7 +24,7 @@
     scheduler = stream_scheduler.StreamScheduler(engine=builders.ENGINE)
     runner = builders.make_runner('d1')
     for n in range(builders.ENGINE.slots):
-        scheduler.submit(builders.make_ask(f's{n}', prompt_tokens=10), 0.0)
+        scheduler.submit(builders.make_request(f's{n}', prompt_tokens=10), 0.0)
         scheduler.decide([runner], float(n))
         scheduler.note_first_event(f's{n}', 0, 0.01, float(n))
     assert scheduler.reservation_count == builders.ENGINE.slots
@@ -36,7 +36,7 @@
     scheduler = stream_scheduler.StreamScheduler(engine=builders.ENGINE)
     runners = [builders.make_runner('d1')]
     for n in range(4):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
         scheduler.decide(runners, 0.0)
         scheduler.release(make_end(f's{n}', 'd1'), 0.0)
     assert scheduler.gone_s(runners, 1.0)
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -33,7 +33,7 @@
     )
 
 
-def make_ask(name, **fields):
+def make_request(name, **fields):
     values = {
         'request_id': name,
         'service': 'model',
--- a/tests/routing/full_fleet.py
+++ b/tests/routing/full_fleet.py
@@ -33,7 +33,7 @@
                 self._adopt(f'h{number}-{n}', runner.runner_id)
         self.now_s = 1.0
         while self.scheduler.waiting < waiting:
-            self.ask()
+            self.submit()
         self.decide()
         self.now_s += 0.01
         assert self.scheduler.waiting == waiting
@@ -49,7 +49,7 @@
         )
 
     def _request(self, name):
-        return builders.make_ask(
+        return builders.make_request(
             name,
             output_tokens=550,
             most_output_tokens=1100,
@@ -59,7 +59,7 @@
             pause_target_s=0.3,
         )
 
-    def ask(self):
+    def submit(self):
         self.asked += 1
         self.scheduler.submit(self._request(f's{self.asked}'), self.now_s)
 
--- a/tests/routing/stream_play.py
+++ b/tests/routing/stream_play.py
@@ -100,7 +100,7 @@
             )
             return
         self.scheduler.submit(
-            builders.make_ask(
+            builders.make_request(
                 event.name,
                 prompt_tokens=stream.prompt_tokens,
                 output_tokens=stream.said_tokens,
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -6,14 +6,14 @@
 
 
 def make_stream(name, sent_s, first_sent_s):
-    ask = builders.make_ask(
+    request = builders.make_request(
         name, prompt_id=name, patience_s=PATIENCE_S - (sent_s - first_sent_s)
     )
     return waiting_stream.WaitingStream(
-        ask=ask,
+        request=request,
         sent_s=sent_s,
         first_sent_s=first_sent_s,
-        tokens=ask.prefill_tokens,
+        tokens=request.prefill_tokens,
     )
 
 
@@ -23,9 +23,9 @@
         first = make_stream(f'{n}', 0.0, 0.0)
         admitted.reject(first, 0.5, 0.0)
         again = make_stream(f'{n}', 4.0, 0.0)
-        assert admitted.first_sent_s(again.ask, 4.0, 4.0) == 0.0
+        assert admitted.first_sent_s(again.request, 4.0, 4.0) == 0.0
         if n < served:
-            admitted.served(again.ask, 4.0)
+            admitted.served(again.request, 4.0)
         else:
             admitted.reject(again, 4.5, 4.0)
 
--- a/tests/routing/test_decode_placement.py
+++ b/tests/routing/test_decode_placement.py
@@ -48,16 +48,16 @@
 
     def request(self):
         self.count += 1
-        return builders.make_ask(
+        return builders.make_request(
             f's{self.count}',
             prompt_tokens=self.rng.randrange(100, 11_000),
             output_tokens=self.rng.randrange(4000, 9000),
             zone=f'z{self.rng.randrange(3)}',
         )
 
-    def expected(self, ask):
+    def expected(self, request):
         """Return the best rank over all runners, looked at one by one."""
-        outlook = self.reserved.outlook(ask, NOW_S)
+        outlook = self.reserved.outlook(request, NOW_S)
         best = None
         for runner in self.runners:
             streams = self.streams[runner.runner_id]
@@ -72,22 +72,22 @@
             if peak > room:
                 continue
             rank = room - peak
-            if runner.zone == ask.zone:
+            if runner.zone == request.zone:
                 rank += room * decode_placement.SAME_ZONE_BONUS
             if best is None or rank > best[0]:
                 best = (rank, runner.runner_id)
         return best
 
-    def take(self, ask, runner):
+    def take(self, request, runner):
         place = placement.Placement(
-            request_id=ask.request_id,
+            request_id=request.request_id,
             decode_id=runner.runner_id,
             prefill_id='',
         )
         self.streams[runner.runner_id].append(
-            self.reserved.outlook(ask, NOW_S)
+            self.reserved.outlook(request, NOW_S)
         )
-        self.reserved.add(place, ask, sent_s=NOW_S, begins_s=NOW_S)
+        self.reserved.add(place, request, sent_s=NOW_S, begins_s=NOW_S)
         self.fleet.update(NOW_S)
 
 
@@ -96,26 +96,26 @@
     """Runners that are passed over unseen must not be better ones."""
     placing = Placing(seed)
     for _ in range(300):
-        ask = placing.request()
-        expected = placing.expected(ask)
-        found = placing.choice.best(ask, NOW_S, NOW_S)
+        request = placing.request()
+        expected = placing.expected(request)
+        found = placing.choice.best(request, NOW_S, NOW_S)
         assert (found is None) == (expected is None)
         if found is None:
             continue
         assert found.runner_id == expected[1]
-        placing.take(ask, found)
+        placing.take(request, found)
 
 
 def test_a_full_fleet_is_not_looked_at_runner_by_runner():
     """Each waiting stream was worked out for every runner on every event."""
     placing = Placing(1)
     while True:
-        ask = placing.request()
-        found = placing.choice.best(ask, NOW_S, NOW_S)
+        request = placing.request()
+        found = placing.choice.best(request, NOW_S, NOW_S)
         if found is None:
             break
-        placing.take(ask, found)
+        placing.take(request, found)
     before = placing.choice.fit_checks
-    large = builders.make_ask('large', prompt_tokens=60_000)
+    large = builders.make_request('large', prompt_tokens=60_000)
     assert placing.choice.best(large, NOW_S, NOW_S) is None
     assert placing.choice.fit_checks == before
--- a/tests/routing/test_local_placement.py
+++ b/tests/routing/test_local_placement.py
@@ -12,20 +12,20 @@
     8,400 tokens to the writer that is left, and the eleven streams there
     stand still for 352 ms: a stranger's prompt costs nine good answers.
     """
-    long = builders.make_ask('long', prompt_tokens=8400)
-    short = builders.make_ask('short', prompt_tokens=2000)
+    long = builders.make_request('long', prompt_tokens=8400)
+    short = builders.make_request('short', prompt_tokens=2000)
     may = local_placement.may_self_prefill_locally
     assert not may(long, entry_hosts=7)
     assert may(short, entry_hosts=7)
 
 
 def test_the_only_host_knows_what_its_writer_has_to_do():
-    long = builders.make_ask('long', prompt_tokens=8400)
+    long = builders.make_request('long', prompt_tokens=8400)
     assert local_placement.may_self_prefill_locally(long, entry_hosts=1)
 
 
 def test_what_was_written_before_is_read_too():
-    begun = builders.make_ask(
+    begun = builders.make_request(
         'begun', prompt_tokens=3000, written_tokens=4000, goes_on=True
     )
     assert not local_placement.may_self_prefill_locally(begun, entry_hosts=7)
--- a/tests/routing/test_pool_sizing.py
+++ b/tests/routing/test_pool_sizing.py
@@ -216,7 +216,9 @@
     runners = [builders.make_runner('a', builders.PREFILL)]
     runners += [builders.make_runner(name) for name in 'bcd']
     for n in range(3):
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=1500), 0.0)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=1500), 0.0
+        )
         change = pool_sizing.next_change(
             runners, engine=SMALL, changing=(), rates=scheduler.rates
         )
--- a/tests/routing/test_prefill_queue.py
+++ b/tests/routing/test_prefill_queue.py
@@ -19,8 +19,8 @@
 
 
 def read(queue, name, took_s, now_s, **fields):
-    ask = builders.make_ask(name, **fields)
-    queue.take(ask, READER, DECODER, now_s)
+    request = builders.make_request(name, **fields)
+    queue.take(request, READER, DECODER, now_s)
     queue.done(name, 0, now_s + took_s)
 
 
@@ -41,8 +41,8 @@
     queue = make_queue()
     read(queue, 'first', 0.12, 0.0, prompt_id='known')
     before = queue.tokens_per_s
-    again = builders.make_ask('again', prompt_id='known')
-    behind = builders.make_ask('behind', prompt_id='new')
+    again = builders.make_request('again', prompt_id='known')
+    behind = builders.make_request('behind', prompt_id='new')
     queue.take(again, READER, DECODER, 1.0)
     queue.take(behind, READER, DECODER, 1.0)
     queue.done('again', 0, 1.0 + CACHED_READ_S)
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -26,9 +26,11 @@
         if action < 0.55:
             name = f's{rng.randrange(400)}'
             place = make_place(name, f'd{rng.randrange(6)}')
-            ask = builders.make_ask(name, patience_s=rng.uniform(0.5, 9.0))
-            reserved.add(place, ask, sent_s=now_s, begins_s=now_s)
-            here[name] = (place, now_s + ask.patience_s + 1.0)
+            request = builders.make_request(
+                name, patience_s=rng.uniform(0.5, 9.0)
+            )
+            reserved.add(place, request, sent_s=now_s, begins_s=now_s)
+            here[name] = (place, now_s + request.patience_s + 1.0)
         elif action < 0.95 and here:
             name = rng.choice(sorted(here))
             reserved.drop(name)
@@ -58,8 +60,8 @@
 
 def test_runners_that_a_stream_left_are_told_once():
     reserved = reservations.Reservations(engine=builders.ENGINE)
-    ask = builders.make_ask('s')
-    reserved.add(make_place('s', 'd1'), ask, sent_s=0.0, begins_s=0.0)
+    request = builders.make_request('s')
+    reserved.add(make_place('s', 'd1'), request, sent_s=0.0, begins_s=0.0)
     assert reserved.take_changed() == {'d1'}
     assert reserved.take_freed() == set()
     reserved.drop('s')
@@ -72,15 +74,15 @@
     held = reservations.Reservations(engine=builders.ENGINE)
     usual_s = held.event_s
     for n in range(12):
-        ask = builders.make_ask(f's{n}')
+        request = builders.make_request(f's{n}')
         place = placement.Placement(
-            request_id=ask.request_id, decode_id='slow', prefill_id=''
+            request_id=request.request_id, decode_id='slow', prefill_id=''
         )
-        held.add(place, ask, sent_s=0.0, begins_s=0.2)
+        held.add(place, request, sent_s=0.0, begins_s=0.2)
         tokens = 40 * builders.ENGINE.tokens_per_event
         held.end(
             placement.Release(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 output_tokens=tokens,
                 decode_s=40 * 2 * usual_s,
                 whole=True,
--- a/tests/routing/test_runner_limits.py
+++ b/tests/routing/test_runner_limits.py
@@ -160,7 +160,7 @@
         for step in range(int(seconds * per_s)):
             now_s = step / per_s
             self.count += 1
-            ask = builders.make_ask(
+            ask = builders.make_request(
                 f's{self.count}', prompt_tokens=500, output_tokens=300
             )
             self.scheduler.submit(ask, now_s)
--- a/tests/routing/test_scheduler_cost.py
+++ b/tests/routing/test_scheduler_cost.py
@@ -18,7 +18,7 @@
     counter = work_counter.WorkCounter()
     with counter.counting():
         for _ in range(EVENTS):
-            fleet.ask()
+            fleet.submit()
             fleet.decide()
             fleet.end()
             fleet.decide()
--- a/tests/routing/test_stream_scheduler.py
+++ b/tests/routing/test_stream_scheduler.py
@@ -76,7 +76,7 @@
 
 def test_a_stream_gets_a_reader_and_a_writer():
     scheduler = make_scheduler()
-    scheduler.submit(builders.make_ask('s'), 0.0)
+    scheduler.submit(builders.make_request('s'), 0.0)
     (place,) = scheduler.decide(make_fleet(), 0.0)
     assert place.prefill_id == 'p'
     assert place.decode_id in ('d0', 'd1')
@@ -85,7 +85,7 @@
 def test_streams_spread_over_the_writers():
     scheduler = make_scheduler()
     for n in range(10):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
     taken = [
         one.decode_id for one in places(scheduler.decide(make_fleet(), 0.0))
     ]
@@ -96,7 +96,9 @@
     """Beyond its places a runner refuses, with the prompt read in vain."""
     scheduler = make_scheduler()
     for n in range(60):
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=500), 0.0
+        )
     given = places(scheduler.decide(make_fleet(), 0.0))
     assert len(given) == 2 * builders.ENGINE.slots
 
@@ -104,7 +106,9 @@
 def test_memory_binds_before_places():
     scheduler = make_scheduler()
     for n in range(60):
-        scheduler.submit(builders.make_ask(f's{n}', prompt_tokens=11_000), 0.0)
+        scheduler.submit(
+            builders.make_request(f's{n}', prompt_tokens=11_000), 0.0
+        )
     given = places(scheduler.decide(make_fleet(), 0.0))
     room = builders.ENGINE.memory_tokens // 16_000
     # Reading staggers them, so one more may fit each runner.
@@ -116,7 +120,9 @@
     """Waiting for a place that cannot come in time helps nobody."""
     scheduler = make_scheduler()
     for n in range(60):
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=2000), 0.0)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=2000), 0.0
+        )
     answers = scheduler.decide(make_fleet(), 0.0)
     told = refusals(answers)
     late_room = round(24 * stream_scheduler.LATE_PART)
@@ -127,7 +133,9 @@
 def test_a_place_that_is_given_back_goes_to_who_waits():
     scheduler = make_scheduler()
     for n in range(25):
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=500), 0.0
+        )
     first = places(scheduler.decide(make_fleet(), 0.0))
     end = placement.Release(request_id=first[0].request_id)
     scheduler.release(end, 0.1)
@@ -139,11 +147,13 @@
     """Refused, it would be lost with all that was written for it."""
     scheduler = make_scheduler()
     for n in range(24):
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=500), 0.0
+        )
     given = places(scheduler.decide(make_fleet(), 0.0))
-    scheduler.submit(builders.make_ask('new', output_tokens=500), 0.1)
+    scheduler.submit(builders.make_request('new', output_tokens=500), 0.1)
     scheduler.submit(
-        builders.make_ask('begun', goes_on=True, reads_prompt=False), 0.15
+        builders.make_request('begun', goes_on=True, reads_prompt=False), 0.15
     )
     scheduler.release(placement.Release(request_id=given[0].request_id), 0.2)
     (place,) = places(scheduler.decide(make_fleet(), 0.2))
@@ -157,10 +167,12 @@
     now_s = 0.0
     served = []
     held = []
-    scheduler.submit(builders.make_ask('late', waited_s=0.89), now_s)
+    scheduler.submit(builders.make_request('late', waited_s=0.89), now_s)
     for n in range(200):
         now_s += 0.01
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=300), now_s)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=300), now_s
+        )
         for one in places(scheduler.decide(fleet, now_s)):
             served.append(one.request_id)
             held.append(one.request_id)
@@ -177,18 +189,19 @@
     now_s = 0.0
     held = []
     for n in range(12):
-        ask = builders.make_ask(
+        request = builders.make_request(
             f'h{n}', prompt_tokens=8000, output_tokens=2000
         )
-        scheduler.submit(ask, now_s)
+        scheduler.submit(request, now_s)
     held = [one.request_id for one in places(scheduler.decide(fleet, now_s))]
     scheduler.submit(
-        builders.make_ask('large', prompt_tokens=30_000, target_s=3.0), now_s
+        builders.make_request('large', prompt_tokens=30_000, target_s=3.0),
+        now_s,
     )
     served = []
     for n in range(100):
         now_s += 0.02
-        small = builders.make_ask(f's{n}', prompt_tokens=900, target_s=3.0)
+        small = builders.make_request(f's{n}', prompt_tokens=900, target_s=3.0)
         scheduler.submit(small, now_s)
         if held and n % 4 == 0:
             ended = held.pop(rng.randrange(len(held)))
@@ -211,7 +224,7 @@
     now_s = 0.0
     for n in range(100):
         now_s += 0.1
-        scheduler.submit(builders.make_ask(f's{n}'), now_s)
+        scheduler.submit(builders.make_request(f's{n}'), now_s)
         for one in places(scheduler.decide(fleet, now_s)):
             dark = one.decode_id == 'd0'
             wasted += dark
@@ -223,7 +236,7 @@
 
 def fail_a_place(scheduler, fleet, name, now_s):
     """Have a stream fail at its reader; return its place."""
-    scheduler.submit(builders.make_ask(name, prompt_tokens=2000), now_s)
+    scheduler.submit(builders.make_request(name, prompt_tokens=2000), now_s)
     (place,) = places(scheduler.decide(fleet, now_s))
     failed = (place.prefill_id,) if place.prefill_id else ()
     scheduler.release(placement.Release(request_id=name, failed=failed), now_s)
@@ -236,7 +249,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=2)
     for n in range(4):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
     given = places(scheduler.decide(fleet, 0.0))
     dark = [one for one in given if one.decode_id == 'd0']
     for one in dark[:-1]:
@@ -245,7 +258,7 @@
     left = placement.Release(request_id=dark[-1].request_id)
     scheduler.release(left, 0.6)
     for n in range(4):
-        scheduler.submit(builders.make_ask(f'r{n}'), 0.7)
+        scheduler.submit(builders.make_request(f'r{n}'), 0.7)
     again = places(scheduler.decide(fleet, 0.7))
     assert [one for one in again if one.decode_id == 'd0'] == []
 
@@ -272,7 +285,7 @@
     """
     scheduler = make_scheduler()
     fleet = make_fleet(writers=2, readers=1)
-    scheduler.submit(builders.make_ask('old'), 8.0)
+    scheduler.submit(builders.make_request('old'), 8.0)
     assert places(scheduler.decide(fleet, 8.0))
     scheduler.note_prefill_done('old', 0, 8.1)
     fail_a_place(scheduler, fleet, 's0', 10.0)
@@ -286,7 +299,7 @@
     fleet = make_fleet(writers=2, readers=1)
     for n in range(2):
         fail_a_place(scheduler, fleet, f's{n}', 10.0)
-    scheduler.submit(builders.make_ask('probe', prompt_tokens=2000), 11.5)
+    scheduler.submit(builders.make_request('probe', prompt_tokens=2000), 11.5)
     (probe,) = places(scheduler.decide(fleet, 11.5))
     assert probe.prefill_id
     scheduler.note_prefill_done('probe', 0, 11.6)
@@ -299,7 +312,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=2, readers=1)
     for n in range(2):
-        scheduler.submit(builders.make_ask(f's{n}'), 10.0)
+        scheduler.submit(builders.make_request(f's{n}'), 10.0)
         scheduler.decide(fleet, 10.0)
     scheduler.release(placement.Release(request_id='s0', failed=('p',)), 10.0)
     assert fail_a_place(scheduler, fleet, 's3', 10.1).prefill_id
@@ -309,23 +322,25 @@
     """Hosts cut off from the leader fill a runner, unseen here."""
     scheduler = make_scheduler()
     fleet = make_fleet(writers=1)
-    scheduler.submit(builders.make_ask('one'), 0.0)
+    scheduler.submit(builders.make_request('one'), 0.0)
     (place,) = scheduler.decide(fleet, 0.0)
     full = (place.decode_id,)
     scheduler.release(placement.Release(request_id='one', full=full), 0.0)
-    scheduler.submit(builders.make_ask('two'), 0.1)
+    scheduler.submit(builders.make_request('two'), 0.1)
     assert not places(scheduler.decide(fleet, 0.1))
-    scheduler.submit(builders.make_ask('three'), 2.0)
+    scheduler.submit(builders.make_request('three'), 2.0)
     assert places(scheduler.decide(fleet, 2.0))
 
 
 def test_places_of_a_host_that_died_lapse():
     scheduler = make_scheduler()
     for n in range(24):
-        ask = builders.make_ask(f's{n}', output_tokens=500, patience_s=2.0)
-        scheduler.submit(ask, 0.0)
+        request = builders.make_request(
+            f's{n}', output_tokens=500, patience_s=2.0
+        )
+        scheduler.submit(request, 0.0)
     scheduler.decide(make_fleet(), 0.0)
-    scheduler.submit(builders.make_ask('next'), 3.5)
+    scheduler.submit(builders.make_request('next'), 3.5)
     assert places(scheduler.decide(make_fleet(), 3.5))
 
 
@@ -333,12 +348,12 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=1)
     for n in range(12):
-        ask = builders.make_ask(f'old{n}', output_tokens=500)
+        request = builders.make_request(f'old{n}', output_tokens=500)
         place = placement.Placement(
-            request_id=ask.request_id, decode_id='d0', prefill_id='p'
+            request_id=request.request_id, decode_id='d0', prefill_id='p'
         )
-        scheduler.restore(place, ask, 0.0)
-    scheduler.submit(builders.make_ask('new'), 0.1)
+        scheduler.restore(place, request, 0.0)
+    scheduler.submit(builders.make_request('new'), 0.1)
     assert not places(scheduler.decide(fleet, 0.1))
 
 
@@ -347,7 +362,9 @@
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(4):
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=500), 0.0)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=500), 0.0
+        )
     (first,) = places(scheduler.decide(fleet, 0.0))
     assert not places(scheduler.decide(fleet, 0.1))
     tell_first_event(scheduler, first, 0.0, 0.2)
@@ -359,8 +376,10 @@
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(2):
-        ask = builders.make_ask(f's{n}', output_tokens=500, target_s=9.0)
-        scheduler.submit(ask, 0.0)
+        request = builders.make_request(
+            f's{n}', output_tokens=500, target_s=9.0
+        )
+        scheduler.submit(request, 0.0)
     (first,) = places(scheduler.decide(fleet, 0.0))
     for now_s in (0.35, 0.6, 0.9):
         assert not places(scheduler.decide(fleet, now_s))
@@ -374,15 +393,17 @@
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(2):
-        ask = builders.make_ask(f's{n}', output_tokens=500, target_s=9.0)
-        scheduler.submit(ask, 0.0)
+        request = builders.make_request(
+            f's{n}', output_tokens=500, target_s=9.0
+        )
+        scheduler.submit(request, 0.0)
     assert places(scheduler.decide(fleet, 0.0))
     assert places(scheduler.decide(fleet, 1.6))
 
 
 def test_with_no_writer_all_are_told_at_once():
     scheduler = make_scheduler()
-    scheduler.submit(builders.make_ask('s'), 0.0)
+    scheduler.submit(builders.make_request('s'), 0.0)
     assert refusals(scheduler.decide([], 0.0))
 
 
@@ -396,14 +417,16 @@
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
     for n in range(6):
-        short = builders.make_ask(f's{n}', prompt_tokens=2000)
+        short = builders.make_request(f's{n}', prompt_tokens=2000)
         scheduler.submit(short, now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.09)
         now_s += 0.4
-    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), now_s)
+    scheduler.submit(
+        builders.make_request('long', prompt_tokens=11_000), now_s
+    )
     assert not places(scheduler.decide(fleet, now_s))
-    scheduler.submit(builders.make_ask('short', prompt_tokens=2000), now_s)
+    scheduler.submit(builders.make_request('short', prompt_tokens=2000), now_s)
     assert places(scheduler.decide(fleet, now_s))
 
 
@@ -413,7 +436,9 @@
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
     for n in range(6):
-        scheduler.submit(builders.make_ask(f's{n}', prompt_tokens=2000), now_s)
+        scheduler.submit(
+            builders.make_request(f's{n}', prompt_tokens=2000), now_s
+        )
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.09)
         now_s += 0.4
@@ -428,13 +453,13 @@
     """
     scheduler, fleet, now_s = busy_lone_writer()
     for n in range(2):
-        long = builders.make_ask(
+        long = builders.make_request(
             f'long{n}', prompt_tokens=11_000, target_s=20.0
         )
         scheduler.submit(long, now_s)
     scheduler.decide(fleet, now_s)
     now_s += 0.4
-    short = builders.make_ask('short', prompt_tokens=2000, target_s=30.0)
+    short = builders.make_request('short', prompt_tokens=2000, target_s=30.0)
     scheduler.submit(short, now_s)
     assert places(scheduler.decide(fleet, now_s))
 
@@ -442,7 +467,9 @@
 def test_a_long_prompt_that_no_writer_can_read_is_told_at_once():
     """It could be read once all but three streams have ended, in 3 s."""
     scheduler, fleet, now_s = busy_lone_writer()
-    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), now_s)
+    scheduler.submit(
+        builders.make_request('long', prompt_tokens=11_000), now_s
+    )
     assert [
         one.request_id for one in refusals(scheduler.decide(fleet, now_s))
     ] == ['long']
@@ -451,7 +478,7 @@
 def test_a_long_prompt_is_read_by_a_writer_that_has_little_to_do():
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
-    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), 0.0)
+    scheduler.submit(builders.make_request('long', prompt_tokens=11_000), 0.0)
     assert places(scheduler.decide(fleet, 0.0))
 
 
@@ -461,8 +488,8 @@
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
     for n in range(count):
-        ask = builders.make_ask(f's{n}', prompt_tokens=2000, **fields)
-        scheduler.submit(ask, now_s)
+        request = builders.make_request(f's{n}', prompt_tokens=2000, **fields)
+        scheduler.submit(request, now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.09)
         now_s += 0.4
@@ -473,14 +500,16 @@
 # anyway, such as those resumed after an outage.
 def test_a_long_prompt_is_read_beside_streams_that_are_late_already():
     scheduler, fleet, now_s = lone_writer_with(6, goes_on=True)
-    scheduler.submit(builders.make_ask('long', prompt_tokens=11_000), now_s)
+    scheduler.submit(
+        builders.make_request('long', prompt_tokens=11_000), now_s
+    )
     assert places(scheduler.decide(fleet, now_s))
 
 
 # Guards against an admission that makes more streams late than it serves.
 def test_a_long_prompt_does_not_make_three_streams_late():
     scheduler, fleet, now_s = lone_writer_with(3)
-    long = builders.make_ask('long', prompt_tokens=11_000, target_s=9.0)
+    long = builders.make_request('long', prompt_tokens=11_000, target_s=9.0)
     scheduler.submit(long, now_s)
     assert not places(scheduler.decide(fleet, now_s))
 
@@ -488,7 +517,7 @@
 # Guards against the same where the prompt's own stream is late.
 def test_a_late_stream_makes_none_late():
     scheduler, fleet, now_s = lone_writer_with(1)
-    late = builders.make_ask('late', prompt_tokens=11_000, waited_s=0.7)
+    late = builders.make_request('late', prompt_tokens=11_000, waited_s=0.7)
     scheduler.submit(late, now_s)
     assert not places(scheduler.decide(fleet, now_s))
 
@@ -501,7 +530,7 @@
         builders.make_runner('d1', zone='b'),
     ]
     for n in range(6):
-        scheduler.submit(builders.make_ask(f's{n}', zone='ab'[n % 2]), 0.0)
+        scheduler.submit(builders.make_request(f's{n}', zone='ab'[n % 2]), 0.0)
     taken = {
         one.request_id: one.decode_id
         for one in places(scheduler.decide(fleet, 0.0))
@@ -514,7 +543,7 @@
     fleet = make_fleet(writers=0)
     fleet += [builders.make_runner(f'd{n}', zone=f'z{n}') for n in range(2)]
     for n in range(16):
-        scheduler.submit(builders.make_ask(f's{n}', zone='z0'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}', zone='z0'), 0.0)
     taken = [one.decode_id for one in places(scheduler.decide(fleet, 0.0))]
     assert 6 <= taken.count('d1') <= 8
 
@@ -529,10 +558,10 @@
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(3):
-        ask = builders.make_ask(
+        request = builders.make_request(
             f's{n}', prompt_tokens=3000, output_tokens=8000
         )
-        scheduler.submit(ask, 0.0)
+        scheduler.submit(request, 0.0)
     served = []
     for step in range(18):
         answers = scheduler.decide(fleet, step * 0.05)
@@ -554,17 +583,19 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=1)
     for n in range(60):
-        ask = builders.make_ask(f's{n}', prompt_id=f'p{n}')
-        scheduler.submit(ask, 0.0)
+        request = builders.make_request(f's{n}', prompt_id=f'p{n}')
+        scheduler.submit(request, 0.0)
     answers = scheduler.decide(fleet, 0.0)
     held = [one.request_id for one in places(answers)]
     told = [one.request_id for one in refusals(answers)]
     for name in told:
-        ask = builders.make_ask(f'again-{name}', prompt_id=f'p{name[1:]}')
-        scheduler.submit(ask, 2.0)
+        request = builders.make_request(
+            f'again-{name}', prompt_id=f'p{name[1:]}'
+        )
+        scheduler.submit(request, 2.0)
     for n in range(6):
-        ask = builders.make_ask(f'new{n}', prompt_id=f'q{n}')
-        scheduler.submit(ask, 2.0)
+        request = builders.make_request(f'new{n}', prompt_id=f'q{n}')
+        scheduler.submit(request, 2.0)
     for name in held[:6]:
         scheduler.release(placement.Release(request_id=name), 2.0)
     given = [one.request_id for one in places(scheduler.decide(fleet, 2.0))]
@@ -576,14 +607,14 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=1)
     for n in range(40):
-        ask = builders.make_ask(f's{n}', prompt_id=f'p{n}')
-        scheduler.submit(ask, 0.0)
+        request = builders.make_request(f's{n}', prompt_id=f'p{n}')
+        scheduler.submit(request, 0.0)
     answers = scheduler.decide(fleet, 0.0)
     for one in places(answers):
         scheduler.release(placement.Release(request_id=one.request_id), 3.0)
     back = refusals(answers)[0].request_id
-    ask = builders.make_ask('again', prompt_id=f'p{back[1:]}')
-    scheduler.submit(ask, 3.0)
+    request = builders.make_request('again', prompt_id=f'p{back[1:]}')
+    scheduler.submit(request, 3.0)
     given = [one.request_id for one in places(scheduler.decide(fleet, 3.0))]
     assert 'again' in given
 
@@ -593,16 +624,16 @@
     engine = dataclasses.replace(builders.ENGINE, slots=4)
     scheduler = stream_scheduler.StreamScheduler(engine=engine)
     fleet = make_fleet(writers=0)
-    scheduler.submit(builders.make_ask('a', prompt_id='p'), 0.0)
+    scheduler.submit(builders.make_request('a', prompt_id='p'), 0.0)
     assert refusals(scheduler.decide(fleet, 0.0))
     fleet = make_fleet(writers=1)
     for n in range(3):
-        scheduler.submit(builders.make_ask(f'x{n}'), 1.0)
+        scheduler.submit(builders.make_request(f'x{n}'), 1.0)
     assert len(places(scheduler.decide(fleet, 1.0))) == 3
     scheduler.submit(
-        builders.make_ask('b', prompt_id='p', prompt_tokens=900), 1.0
+        builders.make_request('b', prompt_id='p', prompt_tokens=900), 1.0
     )
-    scheduler.submit(builders.make_ask('late', waited_s=0.89), 1.0)
+    scheduler.submit(builders.make_request('late', waited_s=0.89), 1.0)
     (place,) = places(scheduler.decide(fleet, 1.0))
     assert place.request_id == 'b'
 
@@ -628,9 +659,9 @@
             came = min(9620, round(4800 * math.exp(rng.gauss(0, 0.5))))
             said = min(9620, round(came * math.exp(rng.gauss(0, 0.5))))
             name = f's{step}'
-            ask = builders.make_ask(name, output_tokens=said)
+            request = builders.make_request(name, output_tokens=said)
             running[name] = (None, came)
-            scheduler.submit(ask, now_s)
+            scheduler.submit(request, now_s)
         for one in scheduler.decide(fleet, now_s):
             if isinstance(one, placement.Rejection):
                 del running[one.request_id]
@@ -670,9 +701,9 @@
     """
     scheduler = make_scheduler()
     fleet = make_fleet()
-    scheduler.submit(builders.make_ask('s', attempt=1), 0.0)
+    scheduler.submit(builders.make_request('s', attempt=1), 0.0)
     (first,) = places(scheduler.decide(fleet, 0.0))
-    again = builders.make_ask('s', attempt=2, avoid=(first.decode_id,))
+    again = builders.make_request('s', attempt=2, avoid=(first.decode_id,))
     scheduler.submit(again, 0.3)
     (second,) = places(scheduler.decide(fleet, 0.3))
     end = placement.Release(
@@ -687,19 +718,19 @@
 def test_who_asks_again_holds_nothing_meanwhile():
     """The call that gives the first place back may be lost."""
     scheduler = make_scheduler()
-    scheduler.submit(builders.make_ask('s', attempt=1), 0.0)
+    scheduler.submit(builders.make_request('s', attempt=1), 0.0)
     scheduler.decide(make_fleet(), 0.0)
-    scheduler.submit(builders.make_ask('s', attempt=2), 0.3)
+    scheduler.submit(builders.make_request('s', attempt=2), 0.3)
     assert scheduler.reservation_count == 0
 
 
 def test_a_runner_that_changes_its_stage_gets_nothing():
     """It refuses all for six seconds, and is still announced as ready."""
     scheduler = make_scheduler()
-    scheduler.submit(builders.make_ask('s'), 0.0)
+    scheduler.submit(builders.make_request('s'), 0.0)
     answers = scheduler.decide(make_fleet(writers=2), 0.0, changing=('d0',))
     assert places(answers)[0].decode_id == 'd1'
-    scheduler.submit(builders.make_ask('t'), 0.0)
+    scheduler.submit(builders.make_request('t'), 0.0)
     answers = scheduler.decide(
         make_fleet(writers=1, readers=1), 0.0, changing=('p',)
     )
@@ -716,10 +747,10 @@
     engine = dataclasses.replace(builders.ENGINE, memory_tokens=78_000)
     scheduler = stream_scheduler.StreamScheduler(engine=engine)
     for n in range(12):
-        ask = builders.make_ask(
+        request = builders.make_request(
             f's{n}', goes_on=True, written_tokens=4000, output_tokens=5000
         )
-        scheduler.submit(ask, 0.0)
+        scheduler.submit(request, 0.0)
     now_s = 0.0
     given = 0
     while now_s < 3.0:
@@ -734,16 +765,16 @@
     scheduler = make_scheduler()
     lone = [builders.make_runner('d0')]
     for n in range(5):
-        scheduler.submit(builders.make_ask(f's{n}'), n * 0.5)
+        scheduler.submit(builders.make_request(f's{n}'), n * 0.5)
         (place,) = places(scheduler.decide(lone, n * 0.5))
         tell_first_event(scheduler, place, n * 0.5, n * 0.5 + 0.21)
     fields = {'goes_on': True, 'prompt_tokens': 3000}
     scheduler.submit(
-        builders.make_ask('a', written_tokens=4000, **fields), 3.0
+        builders.make_request('a', written_tokens=4000, **fields), 3.0
     )
     assert not places(scheduler.decide(lone, 3.0))
     scheduler.submit(
-        builders.make_ask('b', written_tokens=1000, **fields), 3.0
+        builders.make_request('b', written_tokens=1000, **fields), 3.0
     )
     (place,) = places(scheduler.decide(lone, 3.0))
     assert place.request_id == 'b'
@@ -760,7 +791,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=1)
     for n in range(30):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
     reader = Reader(scheduler)
     given, refused = reader.play(fleet)
     assert reader.longest_s < 0.5
@@ -775,7 +806,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=1)
     for n in range(6):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
     reader = Reader(scheduler)
     given, refused = reader.play(fleet)
     assert (given, refused) == (6, 0)
@@ -796,7 +827,7 @@
         now_s = tick * 0.025
         if tick % 4 == 0:
             scheduler.submit(
-                builders.make_ask(f's{tick}', output_tokens=900), now_s
+                builders.make_request(f's{tick}', output_tokens=900), now_s
             )
         reader.read(now_s)
         for one in places(scheduler.decide(fleet, now_s)):
@@ -817,7 +848,7 @@
     scheduler = stream_scheduler.StreamScheduler(engine=SHORT_EVENTS)
     fleet = make_fleet(writers=3, readers=1)
     for n in range(8):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
     got = places(scheduler.decide(fleet, 0.0))
     by_writers = [one.decode_id for one in got if not one.prefill_id]
     assert sorted(by_writers) == ['d0', 'd1', 'd2']
@@ -829,7 +860,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=2)
     for n in range(4):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
     assert all(one.prefill_id for one in places(scheduler.decide(fleet, 0.0)))
 
 
@@ -845,7 +876,9 @@
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
     for n in range(30):
-        scheduler.submit(builders.make_ask(f's{n}', output_tokens=100), now_s)
+        scheduler.submit(
+            builders.make_request(f's{n}', output_tokens=100), now_s
+        )
         (place,) = places(scheduler.decide(fleet, now_s))
         took_s = 0.21 if n % 3 else 0.55
         scheduler.note_first_event(place.request_id, 0, took_s, now_s + 0.21)
@@ -857,10 +890,10 @@
         )
         scheduler.release(end, now_s + 0.7)
         now_s += 0.35
-    long = builders.make_ask('long', prompt_tokens=11_000)
+    long = builders.make_request('long', prompt_tokens=11_000)
     for n in range(4):
-        ask = builders.make_ask(f'b{n}', output_tokens=9000)
-        scheduler.submit(ask, now_s)
+        request = builders.make_request(f'b{n}', output_tokens=9000)
+        scheduler.submit(request, now_s)
         (place,) = places(scheduler.decide(fleet, now_s))
         tell_first_event(scheduler, place, now_s, now_s + 0.21)
         now_s += 0.35
@@ -877,7 +910,7 @@
     scheduler = make_scheduler()
     fleet = make_fleet(writers=3, readers=1)
     for n in range(8):
-        scheduler.submit(builders.make_ask(f's{n}'), 0.0)
+        scheduler.submit(builders.make_request(f's{n}'), 0.0)
     assert all(one.prefill_id for one in places(scheduler.decide(fleet, 0.0)))
 
 
@@ -894,14 +927,14 @@
     fleet = make_fleet(writers=6)
     sizes = {'output_tokens': 550, 'most_output_tokens': 1100}
     for n in range(36):
-        ask = builders.make_ask(f'h{n}', **sizes)
+        request = builders.make_request(f'h{n}', **sizes)
         place = placement.Placement(
-            request_id=ask.request_id, decode_id=f'd{n % 6}', prefill_id=''
+            request_id=request.request_id, decode_id=f'd{n % 6}', prefill_id=''
         )
-        scheduler.restore(place, ask, n / 12)
+        scheduler.restore(place, request, n / 12)
     for n in range(200):
-        ask = builders.make_ask(f's{n}', waited_s=0.85, **sizes)
-        scheduler.submit(ask, 3.0)
+        request = builders.make_request(f's{n}', waited_s=0.85, **sizes)
+        scheduler.submit(request, 3.0)
     answers = scheduler.decide(fleet, 3.0)
     assert len(places(answers)) <= 12
     assert 1 <= scheduler.waiting <= 36 * stream_scheduler.LATE_PART + 2
@@ -914,14 +947,14 @@
     answers of that decision were lost.
     """
     scheduler, fleet, now_s = busy_lone_writer()
-    scheduler.submit(builders.make_ask('s6', prompt_tokens=2000), now_s)
+    scheduler.submit(builders.make_request('s6', prompt_tokens=2000), now_s)
     assert places(scheduler.decide(fleet, now_s))
-    long = builders.make_ask('long1', prompt_tokens=11_000)
+    long = builders.make_request('long1', prompt_tokens=11_000)
     scheduler.submit(long, now_s)
     assert refusals(scheduler.decide(fleet, now_s))
     now_s += 0.01
     for n in range(4):
         scheduler.release(placement.Release(request_id=f's{n}'), now_s)
-    long = builders.make_ask('long2', prompt_tokens=11_000, target_s=9.0)
+    long = builders.make_request('long2', prompt_tokens=11_000, target_s=9.0)
     scheduler.submit(long, now_s)
     assert not refusals(scheduler.decide(fleet, now_s))
--- a/tests/routing/test_stream_times.py
+++ b/tests/routing/test_stream_times.py
@@ -13,8 +13,8 @@
     By a time that suits 3.6 s, streams were refused half way, or read
     for callers that had left.
     """
-    fresh = builders.make_ask('a', silence_s=silence_s)
-    begun = builders.make_ask('b', silence_s=silence_s, goes_on=True)
+    fresh = builders.make_request('a', silence_s=silence_s)
+    begun = builders.make_request('b', silence_s=silence_s, goes_on=True)
     fresh_s = stream_times.max_wait_s(fresh)
     begun_s = stream_times.max_wait_s(begun)
     assert 0 < fresh_s < begun_s < silence_s
@@ -23,6 +23,6 @@
 
 
 def test_what_suits_the_usual_stream():
-    assert stream_times.max_wait_s(builders.make_ask('a')) == (
+    assert stream_times.max_wait_s(builders.make_request('a')) == (
         pytest.approx(2.4)
     )
--- a/tests/routing/test_waiting_queue.py
+++ b/tests/routing/test_waiting_queue.py
@@ -4,9 +4,9 @@
 
 
 def make_stream(name, *, sent_s=0.0, **fields):
-    ask = builders.make_ask(name, **fields)
+    request = builders.make_request(name, **fields)
     return waiting_stream.WaitingStream(
-        ask=ask, sent_s=sent_s, first_sent_s=sent_s, tokens=5000
+        request=request, sent_s=sent_s, first_sent_s=sent_s, tokens=5000
     )
 
 
