--- a/limpetroute/routing/room_probe.py
+++ b/limpetroute/routing/capacity_probe.py
@@ -6,7 +6,7 @@
 from limpetroute.routing import placement
 
 
-class RoomProbe:
+class CapacityProbe:
     """Whether waiting streams have room, asked for many at one moment.
 
     A stream with a shorter prompt than one that fits is taken to fit, and
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -2,8 +2,8 @@
 
 import typing
 
-from limpetroute.routing import decode_room
 from limpetroute.routing import fleet as fleet_module
+from limpetroute.routing import memory_forecast
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import placement
 from limpetroute.routing import reservations
@@ -140,7 +140,7 @@
     def _rank(
         self,
         request: placement.PlacementRequest,
-        outlook: decode_room.StreamOutlook,
+        outlook: memory_forecast.MemoryForecast,
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> float | None:
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -3,9 +3,9 @@
 import typing
 
 from limpetroute.decisions import stage as stage_module
+from limpetroute.routing import free_memory_index
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import reservations
-from limpetroute.routing import room_index
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_limits
 
@@ -39,7 +39,7 @@
             stage_module.Stage | None, dict[str, runner_info.RunnerInfo]
         ] = {}
         self._unusable: tuple[set[str], set[str]] = (set(), set())
-        self.decode_runners = room_index.RoomIndex()
+        self.decode_runners = free_memory_index.FreeMemoryIndex()
         self.prefill_runners: list[runner_info.RunnerInfo] = []
 
     def __repr__(self) -> str:
@@ -105,7 +105,7 @@
 
     def _index(self, now_s: float) -> None:
         self._reservations.take_changed()
-        self.decode_runners = room_index.RoomIndex()
+        self.decode_runners = free_memory_index.FreeMemoryIndex()
         ready = self._ready.get(stage_module.Stage.DECODE, {})
         for runner_id, one in ready.items():
             if runner_id not in self._unusable[0]:
--- a/limpetroute/routing/room_index.py
+++ b/limpetroute/routing/free_memory_index.py
@@ -7,7 +7,7 @@
 from limpetroute.routing import runner_info
 
 
-class RoomIndex:
+class FreeMemoryIndex:
     """The decode runners that may be used, most free memory first."""
 
     def __init__(self) -> None:
--- a/limpetroute/routing/decode_room.py
+++ b/limpetroute/routing/memory_forecast.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class StreamOutlook:
+class MemoryForecast:
     """How a stream's KV memory grows.
 
     Parameters
@@ -50,7 +50,7 @@
 
 
 def peak_tokens(
-    streams: typing.Sequence[StreamOutlook], now_s: float
+    streams: typing.Sequence[MemoryForecast], now_s: float
 ) -> float:
     """Return the most memory that streams will take together.
 
--- a/limpetroute/routing/memory_profile.py
+++ b/limpetroute/routing/memory_profile.py
@@ -3,7 +3,7 @@
 import bisect
 import typing
 
-from limpetroute.routing import decode_room
+from limpetroute.routing import memory_forecast
 
 # A stream that outlasts its estimate has its end moved on bit by bit. The
 # profile follows in steps of this length.
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        streams: typing.Iterable[decode_room.StreamOutlook],
+        streams: typing.Iterable[memory_forecast.MemoryForecast],
         now_s: float,
     ) -> None:
         ends = [(max(now_s, one.ends_s(now_s)), one) for one in streams]
@@ -49,7 +49,7 @@
         return self._totals[0] if self._totals else 0.0
 
     def peak_with(
-        self, stream: decode_room.StreamOutlook, now_s: float
+        self, stream: memory_forecast.MemoryForecast, now_s: float
     ) -> float:
         """Return the most memory that is taken with another stream.
 
--- a/limpetroute/routing/pool_sizing.py
+++ b/limpetroute/routing/pool_sizing.py
@@ -6,7 +6,7 @@
 
 from limpetroute.decisions import stage as stage_module
 from limpetroute.routing import memory_headroom
-from limpetroute.routing import reading_pause
+from limpetroute.routing import prefill_pause
 from limpetroute.routing import runner_info
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
@@ -63,7 +63,7 @@
     """
     by_readers = readers * READ_USE / rates.read_s
     use = 0.0
-    if reading_pause.is_good_beside(rates.pace_beside_reading):
+    if prefill_pause.is_good_beside(rates.pace_beside_reading):
         use = READ_USE
     places = writers * concurrent_streams(engine, rates)
     begin_s = rates.read_s + stream_times.OVERHEAD_S
--- a/limpetroute/routing/read_prompts.py
+++ b/limpetroute/routing/prefill_history.py
@@ -8,7 +8,7 @@
 MAX_KNOWN = 10_000
 
 
-class ReadPrompts:
+class PrefillHistory:
     """Which prompts runners have read lately.
 
     A prompt that a runner reads again is mostly in its cache, and takes
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -6,12 +6,12 @@
 
 import sortedcontainers
 
+from limpetroute.routing import free_memory_index
 from limpetroute.routing import moving_mean
 from limpetroute.routing import placement
-from limpetroute.routing import read_prompts
-from limpetroute.routing import reading_pause
+from limpetroute.routing import prefill_history
+from limpetroute.routing import prefill_pause
 from limpetroute.routing import reservations
-from limpetroute.routing import room_index
 from limpetroute.routing import runner_info
 from limpetroute.routing import self_prefill_tracker
 from limpetroute.routing import stage_rates
@@ -80,14 +80,14 @@
         self._readings: dict[tuple[str, int], _Reading] = {}
         self._queued: dict[str, int] = {}
         self._readers: dict[str, runner_info.RunnerInfo] = {}
-        self._decoders = room_index.RoomIndex()
+        self._decoders = free_memory_index.FreeMemoryIndex()
         self._order = sortedcontainers.SortedList()
         self._key_of: dict[str, tuple[float, str]] = {}
         self._speeds: dict[str, float] = {}
         self._speed_sum = 0.0
         self._self_reads = self_prefill_tracker.SelfPrefillTracker()
         self._prompt_size = prompt_size
-        self._read_prompts = read_prompts.ReadPrompts()
+        self._read_prompts = prefill_history.PrefillHistory()
         # Readings of prompts in a cache, queued at each prefill runner.
         self._cached: collections.Counter[str] = collections.Counter()
 
@@ -104,7 +104,7 @@
     def use(
         self,
         readers: typing.Iterable[runner_info.RunnerInfo],
-        decoders: room_index.RoomIndex | None = None,
+        decoders: free_memory_index.FreeMemoryIndex | None = None,
     ) -> None:
         """Take note of the runners that may be given prompts."""
         if decoders is not None:
@@ -180,7 +180,7 @@
         if reader is not None:
             return 0.0
         read_s = request.prefill_tokens / self.self_read_speed()
-        return reading_pause.pause_s(
+        return prefill_pause.pause_s(
             read_s,
             event_s=self._event_s,
             pace_beside=self.pace_beside_reading,
@@ -220,7 +220,7 @@
     @property
     def pace_beside_reading(self) -> float:
         """Part of their speed at which streams go on beside a reading."""
-        return reading_pause.pace(self._reservations.tokens_per_s)
+        return prefill_pause.pace(self._reservations.tokens_per_s)
 
     @property
     def decodes_during_prefill(self) -> bool:
@@ -229,7 +229,7 @@
         Where they all but stand still, each prompt that a writer reads
         makes an event of all its streams late.
         """
-        return reading_pause.is_good_beside(self.pace_beside_reading)
+        return prefill_pause.is_good_beside(self.pace_beside_reading)
 
     @property
     def self_read_each_s(self) -> float:
@@ -373,7 +373,7 @@
         """Return whether reading it holds streams up for too long."""
         limit_s = request.pause_target_s or USUAL_PAUSE_S
         pause_s = self.pause_beside_s(request, None)
-        return reading_pause.is_too_long(pause_s, limit_s)
+        return prefill_pause.is_too_long(pause_s, limit_s)
 
     def self_prefill_free_s(
         self, decoder: runner_info.RunnerInfo, now_s: float
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -6,8 +6,8 @@
 
 import sortedcontainers
 
-from limpetroute.routing import decode_room
 from limpetroute.routing import length_estimate
+from limpetroute.routing import memory_forecast
 from limpetroute.routing import memory_headroom
 from limpetroute.routing import memory_profile
 from limpetroute.routing import moving_mean
@@ -31,7 +31,7 @@
 class _Reservation:
     place: placement.Placement
     request: placement.PlacementRequest
-    outlook: decode_room.StreamOutlook
+    outlook: memory_forecast.MemoryForecast
     due_s: float
     expires_s: float
 
@@ -281,11 +281,11 @@
 
     def outlook(
         self, request: placement.PlacementRequest, begins_s: float
-    ) -> decode_room.StreamOutlook:
+    ) -> memory_forecast.MemoryForecast:
         """Return how a stream's memory grows if it begins then."""
         expected = self.expected_tokens(request)
         written = request.written_tokens
-        return decode_room.StreamOutlook(
+        return memory_forecast.MemoryForecast(
             prompt_tokens=request.prefill_tokens,
             output_tokens=max(0, expected - written),
             most_output_tokens=max(0, request.most_output_tokens - written),
--- a/limpetroute/routing/runner_reservations.py
+++ b/limpetroute/routing/runner_reservations.py
@@ -1,6 +1,6 @@
 """The slots of one runner that are reserved."""
 
-from limpetroute.routing import decode_room
+from limpetroute.routing import memory_forecast
 from limpetroute.routing import memory_profile
 
 
@@ -8,7 +8,7 @@
     """The slots of one runner that are reserved."""
 
     def __init__(self) -> None:
-        self._streams: dict[str, decode_room.StreamOutlook] = {}
+        self._streams: dict[str, memory_forecast.MemoryForecast] = {}
         self._on_time: set[str] = set()
         self._prefills: set[str] = set()
         self._profile: memory_profile.MemoryProfile | None = None
@@ -42,7 +42,7 @@
     def add(
         self,
         request_id: str,
-        outlook: decode_room.StreamOutlook,
+        outlook: memory_forecast.MemoryForecast,
         *,
         on_time: bool,
     ) -> None:
--- a/limpetroute/routing/self_prefill.py
+++ b/limpetroute/routing/self_prefill_index.py
@@ -7,7 +7,7 @@
 from limpetroute.routing import prefill_queue
 
 
-class SelfPrefill:
+class SelfPrefillIndex:
     """The decode runners with room, and when each may read a prompt.
 
     Parameters
--- a/limpetroute/routing/self_prefill_tracker.py
+++ b/limpetroute/routing/self_prefill_tracker.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from limpetroute.routing import placement
-from limpetroute.routing import read_prompts
+from limpetroute.routing import prefill_history
 from limpetroute.routing import recent_samples
 from limpetroute.routing import stream_times
 
@@ -50,7 +50,7 @@
         self._free_s: dict[str, float] = {}
         self._speeds: dict[str, recent_samples.RecentSamples] = {}
         self._overheads = recent_samples.RecentSamples(stream_times.OVERHEAD_S)
-        self._read_prompts = read_prompts.ReadPrompts()
+        self._read_prompts = prefill_history.PrefillHistory()
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(readings={len(self._readings)!r})'
--- a/limpetroute/routing/stage_rates.py
+++ b/limpetroute/routing/stage_rates.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from limpetroute.routing import reading_pause
+from limpetroute.routing import prefill_pause
 from limpetroute.routing import service as service_module
 
 # What is taken for true until streams have been seen, for some seconds.
@@ -57,7 +57,7 @@
     @property
     def pace_beside_reading(self) -> float:
         """Part of their speed at which its streams go on meanwhile."""
-        return reading_pause.pace(self.write_tokens_per_s)
+        return prefill_pause.pace(self.write_tokens_per_s)
 
     @property
     def write_s(self) -> float:
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -4,6 +4,7 @@
 import typing
 
 from limpetroute.routing import admission
+from limpetroute.routing import capacity_probe
 from limpetroute.routing import decode_placement
 from limpetroute.routing import fleet as fleet_module
 from limpetroute.routing import forecast
@@ -13,7 +14,6 @@
 from limpetroute.routing import pool_sizing
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
-from limpetroute.routing import room_probe
 from limpetroute.routing import runner_choice
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_limits
@@ -402,7 +402,7 @@
         """
         has_decoder = bool(self._fleet.decode_runners)
         late_room = max(1, round(self._streams_at_once * LATE_PART))
-        room = room_probe.RoomProbe(
+        room = capacity_probe.CapacityProbe(
             decode_placement=self._decode_placement, now_s=now_s
         )
         late_first = self._in_time_in_a_row >= LATE_ADMISSION_INTERVAL
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -7,7 +7,7 @@
 from limpetroute.routing import placement
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
-from limpetroute.routing import self_prefill
+from limpetroute.routing import self_prefill_index
 
 # Slots that are looked at beyond one for each waiting stream.
 MORE_ENDS = 16
@@ -47,7 +47,7 @@
         self._waiting = 0
         self._ends_s: list[float] | None = None
         self._queue_s: float | None = None
-        self._self_readers: self_prefill.SelfPrefill | None = None
+        self._self_readers: self_prefill_index.SelfPrefillIndex | None = None
         self._quiet_at_s: float | None = None
 
     def __repr__(self) -> str:
@@ -156,9 +156,9 @@
         return min(found_s, default=math.inf), len(found_s)
 
     @property
-    def _self_reading(self) -> self_prefill.SelfPrefill:
+    def _self_reading(self) -> self_prefill_index.SelfPrefillIndex:
         if self._self_readers is None:
-            self._self_readers = self_prefill.SelfPrefill(
+            self._self_readers = self_prefill_index.SelfPrefillIndex(
                 prefill=self._prefill,
                 fleet=self._fleet,
                 now_s=self._now_s,
--- a/tests/routing/test_decode_placement.py
+++ b/tests/routing/test_decode_placement.py
@@ -5,8 +5,8 @@
 import pytest
 
 from limpetroute.routing import decode_placement
-from limpetroute.routing import decode_room
 from limpetroute.routing import fleet
+from limpetroute.routing import memory_forecast
 from limpetroute.routing import memory_profile
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import placement
@@ -66,7 +66,7 @@
             room = self.reserved.room_tokens(len(streams) + 1)
             profile = memory_profile.MemoryProfile(streams, NOW_S)
             peak = max(
-                decode_room.peak_tokens([*streams, outlook], NOW_S),
+                memory_forecast.peak_tokens([*streams, outlook], NOW_S),
                 profile.first_peak_tokens + outlook.prompt_tokens,
             )
             if peak > room:
--- a/tests/routing/test_memory_profile.py
+++ b/tests/routing/test_memory_profile.py
@@ -4,13 +4,13 @@
 from hypothesis import strategies as st
 import pytest
 
-from limpetroute.routing import decode_room
+from limpetroute.routing import memory_forecast
 from limpetroute.routing import memory_profile
 
 NOW_S = 100.0
 
 outlooks = st.builds(
-    decode_room.StreamOutlook,
+    memory_forecast.MemoryForecast,
     prompt_tokens=st.integers(0, 12_000),
     output_tokens=st.integers(0, 5000),
     most_output_tokens=st.integers(5000, 9000),
@@ -26,7 +26,7 @@
 def test_a_profile_tells_the_peak_with_another_stream(streams, another):
     profile = memory_profile.MemoryProfile(streams, NOW_S)
     expected = max(
-        decode_room.peak_tokens([*streams, another], NOW_S),
+        memory_forecast.peak_tokens([*streams, another], NOW_S),
         profile.first_peak_tokens + another.prompt_tokens,
     )
     assert profile.peak_with(another, NOW_S) == pytest.approx(expected)
@@ -41,7 +41,7 @@
 
 
 def test_a_profile_is_fresh_until_its_first_stream_should_have_ended():
-    stream = decode_room.StreamOutlook(
+    stream = memory_forecast.MemoryForecast(
         prompt_tokens=100,
         output_tokens=1000,
         most_output_tokens=2000,
--- a/tests/routing/test_pool_sizing.py
+++ b/tests/routing/test_pool_sizing.py
@@ -12,7 +12,7 @@
 import pytest
 
 from limpetroute.routing import pool_sizing
-from limpetroute.routing import reading_pause
+from limpetroute.routing import prefill_pause
 from limpetroute.routing import runner_info
 from limpetroute.routing import stage_rates
 from limpetroute.routing import stream_scheduler
@@ -163,7 +163,7 @@
         )
     )
     assert count < runners
-    if rates.pace_beside_reading < reading_pause.LEAST_PACE:
+    if rates.pace_beside_reading < prefill_pause.LEAST_PACE:
         assert count
     assert got * pool_sizing.WORTH_A_CHANGE >= best * 0.999
 
