--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -108,9 +108,9 @@
         if self.ends_s is None:
             return True
         return shutdown_admission.ends_before_shutdown(
-            most_tokens=generation.max_output_tokens,
+            max_tokens=generation.max_output_tokens,
             tokens_per_s=self._speed(service).mean,
-            left_s=self.ends_s - _now_s(),
+            remaining_s=self.ends_s - _now_s(),
         )
 
     def note_speed(
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -214,7 +214,7 @@
             engine=self._service.engine,
             loads=context.view.loads,
             tokens=ask.prompt_tokens + ask.most_output_tokens,
-            part=LOCAL_SHARE_FACTOR / context.entry_hosts,
+            share=LOCAL_SHARE_FACTOR / context.entry_hosts,
             tried=ask.avoid,
             now_s=now_s,
             rng=context.rng,
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -70,14 +70,14 @@
         best = None
         best_rank = 0.0
         if request.zone:
-            for free, runner in decoders.most_free(request.zone):
+            for free, runner in decoders.by_free_memory(request.zone):
                 most = free - request.prefill_tokens
                 if most < 0 or (best and most + bonus <= best_rank):
                     break
                 rank = self._rank(request, outlook, runner, now_s)
                 if rank is not None and (best is None or rank > best_rank):
                     best, best_rank = runner, rank
-        for free, runner in decoders.most_free():
+        for free, runner in decoders.by_free_memory():
             most = free - request.prefill_tokens
             if most < 0 or (best and most <= best_rank):
                 break
@@ -119,7 +119,7 @@
         """Return whether a decode runner has room for a stream now."""
         outlook = self._reservations.outlook(request, now_s)
         checks = 0
-        for free, runner in self._fleet.decode_runners.most_free():
+        for free, runner in self._fleet.decode_runners.by_free_memory():
             if free < request.prefill_tokens or checks == ROOM_CANDIDATES:
                 return False
             if self._rank(request, outlook, runner, now_s) is not None:
--- a/limpetroute/routing/free_memory_index.py
+++ b/limpetroute/routing/free_memory_index.py
@@ -57,7 +57,7 @@
         """Return the memory that a runner has free."""
         return self._free_tokens[runner_id]
 
-    def most_free(
+    def by_free_memory(
         self, zone: str | None = None
     ) -> typing.Iterator[tuple[float, runner_info.RunnerInfo]]:
         """Yield runners and their free memory, most first.
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -36,7 +36,7 @@
     engine: service_module.Engine,
     loads: typing.Mapping[str, runner_load.RunnerLoad],
     tokens: int,
-    part: float,
+    share: float,
     tried: typing.Collection[str],
     now_s: float,
     rng: random.Random,
@@ -76,9 +76,9 @@
         load = loads.get(one.runner_id) or runner_load.RunnerLoad()
         if load.is_limited(now_s) or load.seems_full(engine.slots, now_s):
             continue
-        if load.requests and load.requests >= engine.slots * part:
+        if load.requests and load.requests >= engine.slots * share:
             continue
-        memory_tokens = engine.memory_tokens * min(1.0, part)
+        memory_tokens = engine.memory_tokens * min(1.0, share)
         if load.requests and load.tokens + tokens > memory_tokens:
             continue
         rank = (load.rests(now_s), load.tokens, rng.random())
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -369,7 +369,7 @@
         made_late = self._reservations.on_time(decoder.runner_id)
         return made_late <= (MOST_MADE_LATE if on_time else 0)
 
-    def is_long(self, request: placement.PlacementRequest) -> bool:
+    def exceeds_pause_limit(self, request: placement.PlacementRequest) -> bool:
         """Return whether reading it holds streams up for too long."""
         limit_s = request.pause_target_s or USUAL_PAUSE_S
         pause_s = self.pause_beside_s(request, None)
--- a/limpetroute/routing/runner_choice.py
+++ b/limpetroute/routing/runner_choice.py
@@ -137,7 +137,7 @@
     ) -> runner_info.RunnerInfo | None:
         """Return the best decode runner that may read a prompt now."""
         idle = self._idle_runners
-        if self._prefill.is_long(one.request):
+        if self._prefill.exceeds_pause_limit(one.request):
             on_time = one.meets_targets(ready_s)
             idle = [
                 runner
@@ -154,7 +154,7 @@
         if self._idle is None:
             self._idle = [
                 one
-                for _, one in self._fleet.decode_runners.most_free()
+                for _, one in self._fleet.decode_runners.by_free_memory()
                 if self._prefill.may_self_prefill(one, self._now_s)
             ]
         return self._idle
--- a/limpetroute/routing/self_prefill_index.py
+++ b/limpetroute/routing/self_prefill_index.py
@@ -30,7 +30,7 @@
         self.has_quiet = False
         self._all = _Soonest()
         self._quiet = _Soonest()
-        for free, runner in fleet.decode_runners.most_free():
+        for free, runner in fleet.decode_runners.by_free_memory():
             is_quiet = prefill.may_prefill_long(runner)
             self.has_quiet = self.has_quiet or is_quiet
             if free <= 0:
--- a/limpetroute/routing/shutdown_admission.py
+++ b/limpetroute/routing/shutdown_admission.py
@@ -7,7 +7,7 @@
 
 
 def ends_before_shutdown(
-    *, most_tokens: int, tokens_per_s: float, left_s: float
+    *, max_tokens: int, tokens_per_s: float, remaining_s: float
 ) -> bool:
     """Return whether a stream surely ends before this host does.
 
@@ -28,5 +28,5 @@
     left_s : float
         Time until this host breaks off what is still open.
     """
-    needed_s = BEGIN_S + SPEED_MARGIN * most_tokens / tokens_per_s
-    return needed_s <= left_s
+    needed_s = BEGIN_S + SPEED_MARGIN * max_tokens / tokens_per_s
+    return needed_s <= remaining_s
--- a/limpetroute/routing/startup_wait.py
+++ b/limpetroute/routing/startup_wait.py
@@ -10,7 +10,7 @@
 PATIENCE_PART = 1 / 4
 
 
-def max_wait_s(*, age_s: float, patience_s: float | None) -> float:
+def max_wait_s(*, age_s: float, deadline_s: float | None) -> float:
     """Return how long a request may wait for the first configuration.
 
     Pattern: all hosts lose power or are killed together. Callers failed
@@ -29,6 +29,6 @@
     """
     if age_s > YOUNG_S:
         return 0.0
-    if patience_s is None:
+    if deadline_s is None:
         return LONGEST_WAIT_S
-    return min(LONGEST_WAIT_S, patience_s * PATIENCE_PART)
+    return min(LONGEST_WAIT_S, deadline_s * PATIENCE_PART)
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -38,7 +38,7 @@
 FULL_PASS_S = 0.05
 # Room checks of one pass; what is left goes on in the next one, so that
 # no pass keeps its process from other work.
-MOST_ROOM_CHECKS = 1000
+MAX_FIT_CHECKS = 1000
 
 PlacementResult = placement.Placement | placement.Rejection
 
@@ -302,7 +302,7 @@
     def _place_waiting(self, now_s: float) -> list[placement.Placement]:
         self._fleet.update(now_s)
         freed = self._fleet.by_free_memory(self._reservations.take_freed())
-        most_checks = self._decode_placement.fit_checks + MOST_ROOM_CHECKS
+        most_checks = self._decode_placement.fit_checks + MAX_FIT_CHECKS
         choice = runner_choice.RunnerChoice(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
@@ -362,7 +362,7 @@
         self._waiting.remove(one.request_id)
         self._admission.served(one.request, now_s)
         self._prefill.take(one.request, reader, chosen.decoder, now_s)
-        if reader is None and self._prefill.is_long(one.request):
+        if reader is None and self._prefill.exceeds_pause_limit(one.request):
             self._reservations.note_long_pause(place.decode_id)
         self._reservations.add(
             place,
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -82,7 +82,7 @@
         """Return whether some runner may read a prompt once it is free."""
         if request.reads_prompt and self._fleet.prefill_runners:
             return True
-        if not self._prefill.is_long(request):
+        if not self._prefill.exceeds_pause_limit(request):
             return bool(self._fleet.decode_runners)
         return self._self_reading.has_quiet
 
@@ -136,7 +136,7 @@
         else:
             soonest_s, count = self._self_reading.soonest(
                 request.prefill_tokens,
-                only_quiet=self._prefill.is_long(request),
+                only_quiet=self._prefill.exceeds_pause_limit(request),
             )
         if not count:
             return math.inf
@@ -146,7 +146,7 @@
         self, request: placement.PlacementRequest
     ) -> tuple[float, int]:
         """Return when the first with room may read, and how many have it."""
-        only_quiet = self._prefill.is_long(request)
+        only_quiet = self._prefill.exceeds_pause_limit(request)
         found_s = [
             self._prefill.self_prefill_free_s(runner, self._now_s)
             for runner in self._fleet.decode_runners
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -105,7 +105,7 @@
 
 def test_a_decision_leaves_the_loop_to_others_before_the_rest(monkeypatch):
     """Heartbeats waited until a whole burst was placed."""
-    monkeypatch.setattr(stream_scheduler, 'MOST_ROOM_CHECKS', 1)
+    monkeypatch.setattr(stream_scheduler, 'MAX_FIT_CHECKS', 1)
     decisions = count_decisions(monkeypatch)
     ticks = []
 
--- a/tests/routing/test_local_placement.py
+++ b/tests/routing/test_local_placement.py
@@ -37,7 +37,7 @@
         engine=builders.ENGINE,
         loads={'d': load},
         tokens=5000,
-        part=0.2,
+        share=0.2,
         tried=(),
         now_s=now_s,
         rng=random.Random(0),
