--- a/limpetroute/routing/memory_profile.py
+++ b/limpetroute/routing/memory_profile.py
@@ -18,7 +18,7 @@
 
     Parameters
     ----------
-    streams : iterable of StreamOutlook
+    streams : iterable of MemoryForecast
         The streams of one runner.
     now_s : float
         A steady clock.
