--- a/limpetroute/routing/retry_tracker.py
+++ b/limpetroute/routing/retry_tracker.py
@@ -136,5 +136,7 @@
     A session may send several prompts under one name; their sizes tell
     them apart.
     """
-    sizes = f'{request.prompt_tokens} {request.most_output_tokens}'
-    return f'{request.prompt_id} {sizes}'
+    return (
+        f'{request.prompt_id} {request.prompt_tokens} '
+        f'{request.most_output_tokens}'
+    )
