--- a/limpetroute/routing/admission.py
+++ b/limpetroute/routing/admission.py
@@ -7,7 +7,7 @@
 
 # Where a smaller part than this of those who come back gets a place, callers
 # are told to stay away until their deadline.
-LEAST_SERVED_PART = 0.25
+MIN_SERVED_SHARE = 0.25
 
 
 class Admission:
@@ -26,23 +26,23 @@
         """Return when a stream's caller asked for the first time."""
         first_s = self._retries.first_sent_s(request, sent_s, now_s)
         if first_s == sent_s and not request.goes_on:
-            self._retry_after.note_new(now_s)
+            self._retry_after.note_arrival(now_s)
         return first_s
 
-    def served(
+    def note_served(
         self, request: placement.PlacementRequest, now_s: float
     ) -> None:
         """Forget a stream that got a place."""
-        self._retries.served(request, now_s)
+        self._retries.note_served(request, now_s)
 
-    def released(self, now_s: float) -> None:
+    def note_release(self, now_s: float) -> None:
         """Count a place that became free."""
-        self._retry_after.note_end(now_s)
+        self._retry_after.note_release(now_s)
 
     def reject(
         self,
         stream: waiting_stream.WaitingStream,
-        place_s: float,
+        slot_free_s: float,
         now_s: float,
     ) -> placement.Rejection:
         """Turn a stream away.
@@ -57,20 +57,20 @@
             A steady clock.
         """
         request = stream.request
-        self._retries.note(request, stream.first_sent_s, now_s)
-        left_s = request.patience_s - (now_s - stream.sent_s)
-        served_part = self._retries.served_part(now_s)
-        if served_part is not None and served_part < LEAST_SERVED_PART:
+        self._retries.note_refused(request, stream.first_sent_s, now_s)
+        remaining_s = request.patience_s - (now_s - stream.sent_s)
+        served_share = self._retries.served_share(now_s)
+        if served_share is not None and served_share < MIN_SERVED_SHARE:
             # Told less, most would come back for a second refusal.
             return placement.Rejection(
                 request_id=request.request_id,
-                retry_after_s=max(retry_after.MIN_RETRY_AFTER_S, left_s),
+                retry_after_s=max(retry_after.MIN_RETRY_AFTER_S, remaining_s),
                 reason='no place before its deadline',
             )
         wait_s = self._retry_after.retry_after_s(
-            place_s=place_s - now_s,
-            expected_back=self._retries.expected(now_s) - 1,
-            patience_s=left_s,
+            slot_wait_s=slot_free_s - now_s,
+            expected_returns=self._retries.expected_returns(now_s) - 1,
+            remaining_s=remaining_s,
             now_s=now_s,
         )
         return placement.Rejection(
--- a/limpetroute/routing/capacity_probe.py
+++ b/limpetroute/routing/capacity_probe.py
@@ -37,16 +37,16 @@
             f'failing_tokens={self._failing_tokens!r})'
         )
 
-    def has_room(self, request: placement.PlacementRequest) -> bool:
+    def has_free_runner(self, request: placement.PlacementRequest) -> bool:
         """Return whether a decode runner has room for a stream."""
         tokens = request.prefill_tokens
         if request.avoid:
-            return self._decode_placement.has_room(request, self._now_s)
+            return self._decode_placement.has_free_runner(request, self._now_s)
         if tokens <= self._fitting_tokens:
             return True
         if tokens >= self._failing_tokens:
             return False
-        if self._decode_placement.has_room(request, self._now_s):
+        if self._decode_placement.has_free_runner(request, self._now_s):
             self._fitting_tokens = tokens
             return True
         self._failing_tokens = tokens
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -17,7 +17,7 @@
 SAME_ZONE_BONUS = 0.08
 # Runners that are looked at to tell whether there is room for a stream:
 # where those with most free memory have none, others hardly do.
-ROOM_CANDIDATES = 4
+MAX_PROBED_RUNNERS = 4
 
 
 class DecodePlacement:
@@ -65,7 +65,7 @@
         none that follows can be better; those of the caller's zone first.
         """
         decoders = self._fleet.decode_runners
-        outlook = self._reservations.outlook(request, ready_s)
+        forecast = self._reservations.forecast_memory(request, ready_s)
         bonus = self._engine.memory_tokens * SAME_ZONE_BONUS
         best = None
         best_rank = 0.0
@@ -74,7 +74,7 @@
                 most = free - request.prefill_tokens
                 if most < 0 or (best and most + bonus <= best_rank):
                     break
-                rank = self._rank(request, outlook, runner, now_s)
+                rank = self._rank(request, forecast, runner, now_s)
                 if rank is not None and (best is None or rank > best_rank):
                     best, best_rank = runner, rank
         for free, runner in decoders.by_free_memory():
@@ -83,7 +83,7 @@
                 break
             if request.zone and runner.zone == request.zone:
                 continue
-            rank = self._rank(request, outlook, runner, now_s)
+            rank = self._rank(request, forecast, runner, now_s)
             if rank is not None and (best is None or rank > best_rank):
                 best, best_rank = runner, rank
         return best
@@ -99,30 +99,30 @@
 
         They come in the order of their free memory, most first.
         """
-        outlook = None
+        forecast = None
         best = None
         best_rank = 0.0
         for runner in runners:
             free = self._fleet.decode_runners.free_tokens(runner.runner_id)
             if free < request.prefill_tokens:
                 break
-            if outlook is None:
-                outlook = self._reservations.outlook(request, ready_s)
-            rank = self._rank(request, outlook, runner, now_s)
+            if forecast is None:
+                forecast = self._reservations.forecast_memory(request, ready_s)
+            rank = self._rank(request, forecast, runner, now_s)
             if rank is not None and (best is None or rank > best_rank):
                 best, best_rank = runner, rank
         return best
 
-    def has_room(
+    def has_free_runner(
         self, request: placement.PlacementRequest, now_s: float
     ) -> bool:
         """Return whether a decode runner has room for a stream now."""
-        outlook = self._reservations.outlook(request, now_s)
+        forecast = self._reservations.forecast_memory(request, now_s)
         checks = 0
         for free, runner in self._fleet.decode_runners.by_free_memory():
-            if free < request.prefill_tokens or checks == ROOM_CANDIDATES:
+            if free < request.prefill_tokens or checks == MAX_PROBED_RUNNERS:
                 return False
-            if self._rank(request, outlook, runner, now_s) is not None:
+            if self._rank(request, forecast, runner, now_s) is not None:
                 return True
             checks += 1
         return False
@@ -134,29 +134,29 @@
         now_s: float,
     ) -> bool:
         """Return whether one decode runner has room for a stream now."""
-        outlook = self._reservations.outlook(request, now_s)
-        return self._rank(request, outlook, runner, now_s) is not None
+        forecast = self._reservations.forecast_memory(request, now_s)
+        return self._rank(request, forecast, runner, now_s) is not None
 
     def _rank(
         self,
         request: placement.PlacementRequest,
-        outlook: memory_forecast.MemoryForecast,
+        forecast: memory_forecast.MemoryForecast,
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> float | None:
         """Return the memory left at a runner, or None without room."""
         if runner.runner_id in request.avoid:
             return None
-        taken = self._reservations.streams(runner.runner_id)
+        taken = self._reservations.stream_count(runner.runner_id)
         hidden = self._outliers.hidden(runner.runner_id, now_s)
         if taken + hidden >= self._engine.slots:
             return None
         if not self._limits.has_token(runner.runner_id, now_s):
             return None
         self.fit_checks += 1
-        room = self._reservations.room_tokens(taken + 1)
+        room = self._reservations.usable_tokens(taken + 1)
         profile = self._reservations.profile(runner.runner_id, now_s)
-        peak = profile.peak_with(outlook, now_s)
+        peak = profile.peak_with(forecast, now_s)
         if peak > room:
             return None
         rank = room - peak
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -44,8 +44,9 @@
 
     def __repr__(self) -> str:
         return (
-            f'{type(self).__name__}(decoders={len(self.decode_runners)!r}, '
-            f'readers={len(self.prefill_runners)!r})'
+            f'{type(self).__name__}('
+            f'decode_runners={len(self.decode_runners)!r}, '
+            f'prefill_runners={len(self.prefill_runners)!r})'
         )
 
     def refresh(
@@ -113,12 +114,12 @@
                 self.decode_runners.put(one, free)
 
     def _eject(
-        self, left_out: set[str], taken_back: set[str], now_s: float
+        self, newly_ejected: set[str], readmitted: set[str], now_s: float
     ) -> None:
-        for runner_id in left_out:
+        for runner_id in newly_ejected:
             self.decode_runners.remove(runner_id)
         ready = self._ready.get(stage_module.Stage.DECODE, {})
-        for runner_id in taken_back:
+        for runner_id in readmitted:
             free = self._reservations.free_tokens(runner_id, now_s)
             self.decode_runners.put(ready[runner_id], free)
 
@@ -130,19 +131,21 @@
         need no prefill runner; one that is gone and still registered
         would be given every prompt for want of another.
         """
-        decoders = self._ready.get(stage_module.Stage.DECODE, {})
-        readers = self._ready.get(stage_module.Stage.PREFILL, {})
-        no_decoders = self._outliers.ejected(decoders, now_s)
-        if len(no_decoders) == len(decoders):
-            no_decoders = set()
-        no_readers = self._outliers.ejected(readers, now_s)
-        if len(no_readers) == len(readers):
-            if decoders:
-                no_readers = {
+        decode_runners = self._ready.get(stage_module.Stage.DECODE, {})
+        prefill_runners = self._ready.get(stage_module.Stage.PREFILL, {})
+        ejected_decode = self._outliers.ejected(decode_runners, now_s)
+        if len(ejected_decode) == len(decode_runners):
+            ejected_decode = set()
+        ejected_prefill = self._outliers.ejected(prefill_runners, now_s)
+        if len(ejected_prefill) == len(prefill_runners):
+            if decode_runners:
+                ejected_prefill = {
                     one
-                    for one in no_readers
+                    for one in ejected_prefill
                     if self._outliers.seemed_gone_s(one, now_s)
                 }
             else:
-                no_readers = set()
-        return no_decoders, no_readers | self._limits.spent(readers, now_s)
+                ejected_prefill = set()
+        return ejected_decode, ejected_prefill | self._limits.spent(
+            prefill_runners, now_s
+        )
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -11,7 +11,7 @@
 
 # A host that decides alone knows no measured pauses: up to this length,
 # a prompt holds streams of the longest events up for less than 300 ms.
-LONGEST_SELF_READ_TOKENS = 5500
+MAX_SELF_PREFILL_TOKENS = 5500
 
 
 def may_self_prefill_locally(
@@ -27,7 +27,7 @@
     """
     if entry_hosts <= 1:
         return True
-    return request.prefill_tokens <= LONGEST_SELF_READ_TOKENS
+    return request.prefill_tokens <= MAX_SELF_PREFILL_TOKENS
 
 
 def choose_decode(
--- a/limpetroute/routing/memory_headroom.py
+++ b/limpetroute/routing/memory_headroom.py
@@ -7,11 +7,11 @@
 # targets of two streams.
 DEVIATIONS = 2.0
 # Blocks of memory that are not full, and what is read beside.
-LEAST_PART = 0.03
-MOST_PART = 0.2
+MIN_RESERVED_SHARE = 0.03
+MAX_RESERVED_SHARE = 0.2
 
 
-def room_tokens(
+def usable_tokens(
     memory_tokens: int, streams: int, deviation_tokens: float
 ) -> float:
     """Return the memory that may be planned for.
@@ -32,6 +32,8 @@
     deviation_tokens : float
         Mean deviation of one answer from what was expected.
     """
-    kept = DEVIATIONS * math.sqrt(streams) * deviation_tokens
-    part = min(MOST_PART, max(LEAST_PART, kept / memory_tokens))
-    return memory_tokens * (1 - part)
+    reserved = DEVIATIONS * math.sqrt(streams) * deviation_tokens
+    share = min(
+        MAX_RESERVED_SHARE, max(MIN_RESERVED_SHARE, reserved / memory_tokens)
+    )
+    return memory_tokens * (1 - share)
--- a/limpetroute/routing/memory_profile.py
+++ b/limpetroute/routing/memory_profile.py
@@ -35,10 +35,10 @@
         self.ends_s = [end_s for end_s, _ in ends]
         self._totals = self._totals_at_ends(now_s)
         later = bisect.bisect_right(self.ends_s, now_s)
-        self.fresh_until_s = float('inf')
+        self.valid_until_s = float('inf')
         if self.ends_s:
             first_s = self.ends_s[min(later, len(self.ends_s) - 1)]
-            self.fresh_until_s = max(first_s, now_s + OVERDUE_STEP_S)
+            self.valid_until_s = max(first_s, now_s + OVERDUE_STEP_S)
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(ends_s={self.ends_s!r})'
--- a/limpetroute/routing/moving_mean.py
+++ b/limpetroute/routing/moving_mean.py
@@ -2,7 +2,7 @@
 
 # Of the mean, this part is from the newest one; some sixty streams, a few
 # seconds of them, make up most of it.
-LEAST_WEIGHT = 1 / 32
+MIN_WEIGHT = 1 / 32
 # The first guess counts for as much as this many: a few first callers
 # say little, and a change of stage that is taken back costs twice its time.
 GUESS_WEIGHT = 16
@@ -20,8 +20,8 @@
         The first guess.
     """
 
-    def __init__(self, first: float) -> None:
-        self._mean = first
+    def __init__(self, initial: float) -> None:
+        self._mean = initial
         self._count = GUESS_WEIGHT
 
     def __repr__(self) -> str:
@@ -35,5 +35,5 @@
     def note(self, value: float) -> None:
         """Take note of what came."""
         self._count += 1
-        weight = max(LEAST_WEIGHT, 1 / self._count)
+        weight = max(MIN_WEIGHT, 1 / self._count)
         self._mean += (value - self._mean) * weight
--- a/limpetroute/routing/pool_sizing.py
+++ b/limpetroute/routing/pool_sizing.py
@@ -14,27 +14,27 @@
 
 # Part of its time for which a prefill runner can be kept busy: prompts
 # come in clumps, and one that waits for more than a few others is late.
-READ_USE = 0.85
+PREFILL_UTILIZATION = 0.85
 # Halvings of the interval in which a split's rate is looked for: to a
 # thousandth of it.
 HALVINGS = 10
 # Splits of a large pool that are tried first, and by how much their
 # distance shrinks from one round to the next.
-SPLITS_TRIED = 32
+INITIAL_SPLITS = 32
 STEP_DIVISOR = 4
 # A change takes a runner away for the time of its streams and of the
 # change, and another one back takes as long. It has to let in this many
 # times the streams, as measured rates move by themselves.
-WORTH_A_CHANGE = 1.2
+MIN_CHANGE_GAIN = 1.2
 # One runner of this many may be changing at a time; of fewer, one.
 RUNNERS_PER_CHANGE = 10
 # A runner that has failed all it was sent for this long is taken to be
 # gone for good: one that crashes is mostly back within five seconds.
-LOST_AFTER_S = 6.0
+GONE_AFTER_S = 6.0
 # With two decode runners left and no other, neither is taken away at
 # once: the other would be alone for the time of a change. Most runners
 # that crash are back by then.
-LAST_DECODER_GRACE_S = 4.0
+LAST_DECODE_RUNNER_GRACE_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -46,8 +46,8 @@
 
 
 def streams_per_s(
-    readers: int,
-    writers: int,
+    prefill_runners: int,
+    decode_runners: int,
     *,
     engine: service_module.Engine,
     rates: stage_rates.StageRates,
@@ -61,23 +61,27 @@
     streams all but stand still meanwhile, what writers read is not
     counted: each such prompt makes the events of all others late.
     """
-    by_readers = readers * READ_USE / rates.read_s
+    by_prefill_runners = (
+        prefill_runners * PREFILL_UTILIZATION / rates.prefill_s
+    )
     use = 0.0
-    if prefill_pause.is_good_beside(rates.pace_beside_reading):
-        use = READ_USE
-    places = writers * concurrent_streams(engine, rates)
-    begin_s = rates.read_s + stream_times.OVERHEAD_S
+    if prefill_pause.is_pace_sufficient(rates.pace_beside_prefill):
+        use = PREFILL_UTILIZATION
+    places = decode_runners * concurrent_streams(engine, rates)
+    begin_s = rates.prefill_s + stream_times.FIRST_EVENT_OVERHEAD_S
     least = 0.0
-    most = places / (begin_s + rates.write_s)
+    most = places / (begin_s + rates.decode_s)
     for _ in range(HALVINGS):
         tried = (least + most) / 2
-        by_each_writer = max(0.0, tried - by_readers) / writers
-        busy = by_each_writer * rates.self_read_s
-        pace = 1 - busy * (1 - rates.pace_beside_reading)
+        by_each_decode_runner = (
+            max(0.0, tried - by_prefill_runners) / decode_runners
+        )
+        busy = by_each_decode_runner * rates.self_prefill_s
+        pace = 1 - busy * (1 - rates.pace_beside_prefill)
         fits = (
             busy <= use
             and pace > 0
-            and tried * (begin_s + rates.write_s / pace) <= places
+            and tried * (begin_s + rates.decode_s / pace) <= places
         )
         if fits:
             least = tried
@@ -113,15 +117,18 @@
     best_per_s = 0.0
     # The rate rises to its peak and falls from there, so a large pool is
     # searched in steps that get smaller around the best one.
-    step = max(1, runners // SPLITS_TRIED)
+    step = max(1, runners // INITIAL_SPLITS)
     tried = range(0, runners, step)
     while True:
-        for readers in tried:
+        for prefill_runners in tried:
             per_s = streams_per_s(
-                readers, runners - readers, engine=engine, rates=rates
+                prefill_runners,
+                runners - prefill_runners,
+                engine=engine,
+                rates=rates,
             )
             if per_s > best_per_s:
-                best, best_per_s = readers, per_s
+                best, best_per_s = prefill_runners, per_s
         if step == 1:
             return best
         last, step = step, max(1, step // STEP_DIVISOR)
@@ -142,14 +149,14 @@
     rates : StageRates
         What was measured of its streams.
     """
-    room_tokens = memory_headroom.room_tokens(
+    usable_tokens = memory_headroom.usable_tokens(
         engine.memory_tokens,
         min(
             engine.slots, math.ceil(engine.memory_tokens / rates.memory_tokens)
         ),
         rates.deviation_tokens,
     )
-    return min(float(engine.slots), room_tokens / rates.memory_tokens)
+    return min(float(engine.slots), usable_tokens / rates.memory_tokens)
 
 
 def _memory_binds(
@@ -186,7 +193,7 @@
         For how long runners have seemed gone, by identity.
     """
     lost = {
-        name for name, for_s in (gone_s or {}).items() if for_s >= LOST_AFTER_S
+        name for name, for_s in (gone_s or {}).items() if for_s >= GONE_AFTER_S
     }
     ready = [
         one
@@ -202,28 +209,28 @@
         return None
     rates = rates or stage_rates.default_rates(engine)
     settled = [one for one in ready if one.runner_id not in changing]
-    readers = [
+    prefill_runners = [
         one for one in settled if one.stage is stage_module.Stage.PREFILL
     ]
-    writers = [
+    decode_runners = [
         one for one in settled if one.stage is not stage_module.Stage.PREFILL
     ]
-    will_read = len(readers) + sum(
+    will_prefill = len(prefill_runners) + sum(
         one.stage is stage_module.Stage.DECODE for one in under_way
     )
     wanted = target_prefill_count(len(ready), engine, rates)
-    if will_read == wanted or not _is_worth_it(
-        will_read, wanted, len(ready), engine, rates
+    if will_prefill == wanted or not _is_worth_it(
+        will_prefill, wanted, len(ready), engine, rates
     ):
         return None
-    if will_read > wanted and readers:
+    if will_prefill > wanted and prefill_runners:
         # The last by name: every host that decides picks the same one.
-        chosen = max(readers, key=lambda one: one.runner_id)
+        chosen = max(prefill_runners, key=lambda one: one.runner_id)
         return StageChange(
             runner_id=chosen.runner_id, stage=stage_module.Stage.DECODE
         )
-    if will_read < wanted and writers:
-        chosen = min(writers, key=lambda one: one.runner_id)
+    if will_prefill < wanted and decode_runners:
+        chosen = min(decode_runners, key=lambda one: one.runner_id)
         return StageChange(
             runner_id=chosen.runner_id, stage=stage_module.Stage.PREFILL
         )
@@ -236,22 +243,22 @@
 
 
 def _is_worth_it(
-    readers: int,
+    prefill_runners: int,
     wanted: int,
     runners: int,
     engine: service_module.Engine,
     rates: stage_rates.StageRates,
 ) -> bool:
     """Return whether the wanted split lets in enough more streams."""
-    if readers >= runners or runners <= 2:
+    if prefill_runners >= runners or runners <= 2:
         return True
     now_per_s = streams_per_s(
-        readers, runners - readers, engine=engine, rates=rates
+        prefill_runners, runners - prefill_runners, engine=engine, rates=rates
     )
     then_per_s = streams_per_s(
         wanted, runners - wanted, engine=engine, rates=rates
     )
-    return then_per_s >= now_per_s * WORTH_A_CHANGE
+    return then_per_s >= now_per_s * MIN_CHANGE_GAIN
 
 
 def decode_runners_during_change(
@@ -270,7 +277,7 @@
     )
 
 
-def change_delay_s(change: StageChange, writers: int) -> float:
+def change_delay_s(change: StageChange, decode_runners: int) -> float:
     """Return how long a change has to be wanted before it is ordered.
 
     Pattern: the last reader leaves while one of the two writers has just
@@ -279,6 +286,6 @@
     """
     if change.stage is stage_module.Stage.DECODE:
         return 0.0
-    if not writers:
+    if not decode_runners:
         return math.inf
-    return LAST_DECODER_GRACE_S if writers == 1 else 0.0
+    return LAST_DECODE_RUNNER_GRACE_S if decode_runners == 1 else 0.0
--- a/limpetroute/routing/prefill_history.py
+++ b/limpetroute/routing/prefill_history.py
@@ -5,7 +5,7 @@
 from limpetroute.routing import placement
 
 # Bounds the memory; far more prompts than runners keep in their caches.
-MAX_KNOWN = 10_000
+MAX_ENTRIES = 10_000
 
 
 class PrefillHistory:
@@ -33,7 +33,7 @@
         was_known = key in self._known
         self._known[key] = None
         self._known.move_to_end(key)
-        if len(self._known) > MAX_KNOWN:
+        if len(self._known) > MAX_ENTRIES:
             self._known.popitem(last=False)
         return was_known
 
--- a/limpetroute/routing/prefill_pause.py
+++ b/limpetroute/routing/prefill_pause.py
@@ -2,14 +2,14 @@
 
 # Between two steps of its streams, a decode runner reads a piece of the
 # prompt for this long (a quarter of the usual piece, at half the speed).
-PIECE_S = 0.01
+CHUNK_S = 0.01
 # Streams that go on at less than this part of their speed beside a reading
 # pause for longer than their events may: an event of 50 ms then takes a
 # quarter of a second, and some do without a reading.
-LEAST_PACE = 0.2
+MIN_PACE = 0.2
 # Part of the longest good pause that is planned for: pauses differ by a
 # twentieth from one prompt to the next.
-PLANNED_PART = 0.95
+PLANNED_SHARE = 0.95
 
 
 def pace(tokens_per_s: float) -> float:
@@ -27,15 +27,15 @@
         How fast a stream is written, as measured.
     """
     step_s = 1 / tokens_per_s
-    return step_s / (step_s + PIECE_S)
+    return step_s / (step_s + CHUNK_S)
 
 
-def is_good_beside(pace_beside: float) -> bool:
+def is_pace_sufficient(pace_beside: float) -> bool:
     """Return whether streams go on while their runner reads a prompt."""
-    return pace_beside >= LEAST_PACE
+    return pace_beside >= MIN_PACE
 
 
-def pause_s(read_s: float, *, event_s: float, pace_beside: float) -> float:
+def pause_s(prefill_s: float, *, event_s: float, pace_beside: float) -> float:
     """Return the longest time between two events beside a reading.
 
     An event that has seventy tokens waits until the whole prompt is read;
@@ -50,9 +50,9 @@
     pace_beside : float
         How fast streams go on, as a part of their usual speed.
     """
-    return min(event_s / pace_beside, event_s + read_s * (1 - pace_beside))
+    return min(event_s / pace_beside, event_s + prefill_s * (1 - pace_beside))
 
 
 def is_too_long(pause_s: float, limit_s: float) -> bool:
     """Return whether a planned pause may exceed the longest good one."""
-    return pause_s > limit_s * PLANNED_PART
+    return pause_s > limit_s * PLANNED_SHARE
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -19,38 +19,38 @@
 
 # A prompt that holds a runner's streams up for too long is only read where
 # it makes no more of them late than it is itself on time.
-MOST_MADE_LATE = 1
+MAX_DELAYED_STREAMS = 1
 # Up to so many decode runners, each is looked at.
-FEW_RUNNERS = 8
+SMALL_POOL_RUNNERS = 8
 # Runners of a service differ in speed: one that has not read yet may be
 # slower than the others.
-UNMEASURED_PART = 0.85
+UNMEASURED_SPEED_RATIO = 0.85
 # Longest pause between events where a route names none.
-USUAL_PAUSE_S = 0.3
+DEFAULT_PAUSE_TARGET_S = 0.3
 # Readings that are queued at a prefill runner. Who waits there cannot be
 # put behind one that is due sooner, and a host that waits too long takes
 # the runner for dark; with less than two prompts queued, the runner would
 # stand still between two.
-LONGEST_QUEUE_S = 0.25
+MAX_QUEUE_S = 0.25
 # A reading that nothing was heard of for this long is over: its host
 # has taken the runner for dark before.
-FORGET_S = 1.5
+PREFILL_TIMEOUT_S = 1.5
 # Beside the reading itself: the way to the entry host, to the runner and
 # back, and to who counts.
-WAY_S = 0.02
+NETWORK_DELAY_S = 0.02
 # Weight of one reading in a runner's measured speed.
 SPEED_WEIGHT = 1 / 8
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Reading:
-    reader_id: str
+class _Prefill:
+    prefill_id: str
     tokens: int
     queued_tokens: int
-    since_s: float
-    cached: bool
+    started_s: float
+    is_cached: bool
     # Neither it nor what is queued before it is in the runner's cache.
-    measures: bool
+    is_measurable: bool
 
 
 class PrefillQueue:
@@ -77,22 +77,22 @@
     ) -> None:
         self._reservations = reserved
         # In the order in which they began.
-        self._readings: dict[tuple[str, int], _Reading] = {}
+        self._prefills: dict[tuple[str, int], _Prefill] = {}
         self._queued: dict[str, int] = {}
-        self._readers: dict[str, runner_info.RunnerInfo] = {}
-        self._decoders = free_memory_index.FreeMemoryIndex()
+        self._prefill_runners: dict[str, runner_info.RunnerInfo] = {}
+        self._decode_runners = free_memory_index.FreeMemoryIndex()
         self._order = sortedcontainers.SortedList()
         self._key_of: dict[str, tuple[float, str]] = {}
         self._speeds: dict[str, float] = {}
         self._speed_sum = 0.0
-        self._self_reads = self_prefill_tracker.SelfPrefillTracker()
+        self._self_prefills = self_prefill_tracker.SelfPrefillTracker()
         self._prompt_size = prompt_size
-        self._read_prompts = prefill_history.PrefillHistory()
+        self._history = prefill_history.PrefillHistory()
         # Readings of prompts in a cache, queued at each prefill runner.
         self._cached: collections.Counter[str] = collections.Counter()
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(readings={len(self._readings)!r})'
+        return f'{type(self).__name__}(prefills={len(self._prefills)!r})'
 
     @property
     def tokens_per_s(self) -> float:
@@ -101,65 +101,75 @@
             return stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
         return self._speed_sum / len(self._speeds)
 
-    def use(
+    def set_runners(
         self,
-        readers: typing.Iterable[runner_info.RunnerInfo],
-        decoders: free_memory_index.FreeMemoryIndex | None = None,
+        prefill_runners: typing.Iterable[runner_info.RunnerInfo],
+        decode_runners: free_memory_index.FreeMemoryIndex | None = None,
     ) -> None:
         """Take note of the runners that may be given prompts."""
-        if decoders is not None:
-            self._decoders = decoders
-        self._readers = {one.runner_id: one for one in readers}
+        if decode_runners is not None:
+            self._decode_runners = decode_runners
+        self._prefill_runners = {one.runner_id: one for one in prefill_runners}
         self._order.clear()
         self._key_of.clear()
-        for runner_id in self._readers:
+        for runner_id in self._prefill_runners:
             self._sort(runner_id)
 
     def first_free(self, now_s: float) -> runner_info.RunnerInfo | None:
         """Return the prefill runner that is free first, if there is one."""
-        self._lapse(now_s)
+        self._expire(now_s)
         if not self._order:
             return None
-        return self._readers[self._order[0][1]]
+        return self._prefill_runners[self._order[0][1]]
 
-    def may_queue(self, reader: runner_info.RunnerInfo, now_s: float) -> bool:
+    def may_queue(
+        self, prefill_runner: runner_info.RunnerInfo, now_s: float
+    ) -> bool:
         """Return whether a prefill runner may be given another prompt."""
-        return self.queue_s(reader, now_s) <= LONGEST_QUEUE_S
+        return self.queue_s(prefill_runner, now_s) <= MAX_QUEUE_S
 
-    def queue_s(self, reader: runner_info.RunnerInfo, now_s: float) -> float:
+    def queue_s(
+        self, prefill_runner: runner_info.RunnerInfo, now_s: float
+    ) -> float:
         """Return for how long a prefill runner reads what it was given."""
-        self._lapse(now_s)
-        return self._queue_s(reader.runner_id)
+        self._expire(now_s)
+        return self._queue_s(prefill_runner.runner_id)
 
     @property
-    def read_each_s(self) -> float:
+    def mean_prefill_s(self) -> float:
         """Time that a prefill runner takes for a prompt."""
         return self._prompt_size.mean / self.tokens_per_s
 
     def ready_s(
         self,
         request: placement.PlacementRequest,
-        reader: runner_info.RunnerInfo | None,
+        prefill_runner: runner_info.RunnerInfo | None,
         now_s: float,
     ) -> float:
         """Return when the first event is there, if it is read now."""
         queue_s = 0.0
-        if reader is not None:
-            queue_s = self.queue_s(reader, now_s)
-        has_reader = reader is not None
-        return now_s + queue_s + self.to_first_event_s(request, has_reader)
+        if prefill_runner is not None:
+            queue_s = self.queue_s(prefill_runner, now_s)
+        has_prefill_runner = prefill_runner is not None
+        return (
+            now_s
+            + queue_s
+            + self.first_event_delay_s(request, has_prefill_runner)
+        )
 
-    def to_first_event_s(
-        self, request: placement.PlacementRequest, has_reader: bool
+    def first_event_delay_s(
+        self, request: placement.PlacementRequest, has_prefill_runner: bool
     ) -> float:
         """Return the time from a place to the first event, as measured."""
-        if has_reader:
-            read_s = request.prefill_tokens / self.tokens_per_s
-            return stream_times.OVERHEAD_S + read_s
-        read_s = request.prefill_tokens / self.self_read_speed()
-        return self._self_reads.overhead_s + read_s
-
-    def speed(self, reader: runner_info.RunnerInfo | None) -> float:
+        if has_prefill_runner:
+            prefill_s = request.prefill_tokens / self.tokens_per_s
+            return stream_times.FIRST_EVENT_OVERHEAD_S + prefill_s
+        prefill_s = request.prefill_tokens / self.self_prefill_tokens_per_s()
+        return self._self_prefills.overhead_s + prefill_s
+
+    def prefill_tokens_per_s(
+        self, prefill_runner: runner_info.RunnerInfo | None
+    ) -> float:
         """Return the tokens a second that a prompt is read at.
 
         Parameters
@@ -167,26 +177,26 @@
         reader : RunnerInfo or None
             The prefill runner; None if a decode runner reads it.
         """
-        if reader is None:
-            return self.self_read_speed()
-        return self._speed(reader.runner_id)
+        if prefill_runner is None:
+            return self.self_prefill_tokens_per_s()
+        return self._speed(prefill_runner.runner_id)
 
     def pause_beside_s(
         self,
         request: placement.PlacementRequest,
-        reader: runner_info.RunnerInfo | None,
+        prefill_runner: runner_info.RunnerInfo | None,
     ) -> float:
         """Return the longest time between two events beside its prefill."""
-        if reader is not None:
+        if prefill_runner is not None:
             return 0.0
-        read_s = request.prefill_tokens / self.self_read_speed()
+        prefill_s = request.prefill_tokens / self.self_prefill_tokens_per_s()
         return prefill_pause.pause_s(
-            read_s,
+            prefill_s,
             event_s=self._event_s,
-            pace_beside=self.pace_beside_reading,
+            pace_beside=self.pace_beside_prefill,
         )
 
-    def self_read_speed(self, runner_id: str | None = None) -> float:
+    def self_prefill_tokens_per_s(self, runner_id: str | None = None) -> float:
         """Return the tokens a second at which decode runners read.
 
         Until it is measured, it follows from that of prefill runners.
@@ -196,8 +206,12 @@
         runner_id : str or None
             One runner; what is known of all if it is left out.
         """
-        measured = self._self_reads.tokens_per_s(runner_id)
-        return measured if measured is not None else self._first_self_speed
+        measured = self._self_prefills.tokens_per_s(runner_id)
+        return (
+            measured
+            if measured is not None
+            else self._default_self_prefill_speed
+        )
 
     @property
     def _event_s(self) -> float:
@@ -205,20 +219,20 @@
 
         Of many, one that is slow is not waited for.
         """
-        if not 0 < len(self._decoders) <= FEW_RUNNERS:
+        if not 0 < len(self._decode_runners) <= SMALL_POOL_RUNNERS:
             return self._reservations.event_s
         return max(
             self._reservations.event_s_at(one.runner_id)
-            for one in self._decoders
+            for one in self._decode_runners
         )
 
     @property
-    def _first_self_speed(self) -> float:
-        usual = self.tokens_per_s * stage_rates.SELF_READ_PART
-        return usual * UNMEASURED_PART
+    def _default_self_prefill_speed(self) -> float:
+        usual = self.tokens_per_s * stage_rates.SELF_PREFILL_SPEED_RATIO
+        return usual * UNMEASURED_SPEED_RATIO
 
     @property
-    def pace_beside_reading(self) -> float:
+    def pace_beside_prefill(self) -> float:
         """Part of their speed at which streams go on beside a reading."""
         return prefill_pause.pace(self._reservations.tokens_per_s)
 
@@ -229,59 +243,63 @@
         Where they all but stand still, each prompt that a writer reads
         makes an event of all its streams late.
         """
-        return prefill_pause.is_good_beside(self.pace_beside_reading)
+        return prefill_pause.is_pace_sufficient(self.pace_beside_prefill)
 
     @property
-    def self_read_each_s(self) -> float:
+    def self_prefill_interval_s(self) -> float:
         """Time after which a decode runner may read the next prompt."""
-        read_s = self._prompt_size.mean / self.self_read_speed()
-        return read_s + self._event_s
+        prefill_s = self._prompt_size.mean / self.self_prefill_tokens_per_s()
+        return prefill_s + self._event_s
 
-    def take(
+    def add(
         self,
         request: placement.PlacementRequest,
-        reader: runner_info.RunnerInfo | None,
-        decoder: runner_info.RunnerInfo,
+        prefill_runner: runner_info.RunnerInfo | None,
+        decode_runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> None:
         """Take note of who reads a prompt from now on."""
-        own_tokens = (
-            request.written_tokens if reader else request.prefill_tokens
+        self_prefill_tokens = (
+            request.written_tokens
+            if prefill_runner
+            else request.prefill_tokens
         )
-        if own_tokens:
-            begins_s = 0.0
-            if reader is not None:
-                begins_s = self.queue_s(reader, now_s)
-                begins_s += request.prompt_tokens / self._speed(
-                    reader.runner_id
+        if self_prefill_tokens:
+            queue_s = 0.0
+            if prefill_runner is not None:
+                queue_s = self.queue_s(prefill_runner, now_s)
+                queue_s += request.prompt_tokens / self._speed(
+                    prefill_runner.runner_id
                 )
-            speed = self.self_read_speed(decoder.runner_id)
-            self._self_reads.begin(
+            speed = self.self_prefill_tokens_per_s(decode_runner.runner_id)
+            self._self_prefills.begin(
                 request,
-                decoder.runner_id,
-                tokens=own_tokens,
-                read_s=begins_s + own_tokens / speed,
+                decode_runner.runner_id,
+                tokens=self_prefill_tokens,
+                prefill_s=queue_s + self_prefill_tokens / speed,
                 now_s=now_s,
             )
-        if reader is None:
+        if prefill_runner is None:
             return
         self._remove((request.request_id, request.attempt))
-        self._lapse(now_s)
-        cached = self._read_prompts.note(reader.runner_id, request)
-        self._cached[reader.runner_id] += cached
-        ahead = self._queued.get(reader.runner_id, 0)
-        self._queued[reader.runner_id] = ahead + request.prompt_tokens
-        self._readings[(request.request_id, request.attempt)] = _Reading(
-            reader_id=reader.runner_id,
+        self._expire(now_s)
+        is_cached = self._history.note(prefill_runner.runner_id, request)
+        self._cached[prefill_runner.runner_id] += is_cached
+        ahead = self._queued.get(prefill_runner.runner_id, 0)
+        self._queued[prefill_runner.runner_id] = ahead + request.prompt_tokens
+        self._prefills[(request.request_id, request.attempt)] = _Prefill(
+            prefill_id=prefill_runner.runner_id,
             tokens=request.prompt_tokens,
             queued_tokens=ahead + request.prompt_tokens,
-            since_s=now_s,
-            cached=cached,
-            measures=not self._cached[reader.runner_id],
+            started_s=now_s,
+            is_cached=is_cached,
+            is_measurable=not self._cached[prefill_runner.runner_id],
         )
-        self._sort(reader.runner_id)
+        self._sort(prefill_runner.runner_id)
 
-    def done(self, request_id: str, attempt: int, now_s: float) -> str | None:
+    def note_prefill_done(
+        self, request_id: str, attempt: int, now_s: float
+    ) -> str | None:
         """Take note of a prompt that was read, and how long it took.
 
         Returns
@@ -289,23 +307,23 @@
         str or None
             Identity of the prefill runner that read it, if it is known.
         """
-        reading = self._remove((request_id, attempt))
-        if reading is None:
+        prefill = self._remove((request_id, attempt))
+        if prefill is None:
             return None
-        if not reading.measures:
-            return reading.reader_id
-        took_s = max(0.001, now_s - reading.since_s - WAY_S)
-        speed = self._speed(reading.reader_id)
-        measured = min(reading.queued_tokens / took_s, 2 * speed)
+        if not prefill.is_measurable:
+            return prefill.prefill_id
+        took_s = max(0.001, now_s - prefill.started_s - NETWORK_DELAY_S)
+        speed = self._speed(prefill.prefill_id)
+        measured = min(prefill.queued_tokens / took_s, 2 * speed)
         usual = self._prompt_size.mean
-        weight = SPEED_WEIGHT * min(1.0, reading.queued_tokens / usual)
+        weight = SPEED_WEIGHT * min(1.0, prefill.queued_tokens / usual)
         speed += (measured - speed) * weight
-        self._speed_sum += speed - self._speeds.get(reading.reader_id, 0.0)
-        self._speeds[reading.reader_id] = speed
-        self._sort(reading.reader_id)
-        return reading.reader_id
+        self._speed_sum += speed - self._speeds.get(prefill.prefill_id, 0.0)
+        self._speeds[prefill.prefill_id] = speed
+        self._sort(prefill.prefill_id)
+        return prefill.prefill_id
 
-    def first_event(
+    def note_first_event(
         self, request_id: str, attempt: int, took_s: float, now_s: float
     ) -> None:
         """Take note of the first event after a decode runner's own reading.
@@ -319,10 +337,10 @@
         now_s : float
             A steady clock.
         """
-        self._self_reads.done(
+        self._self_prefills.note_first_event(
             (request_id, attempt),
             took_s,
-            usual_speed=self._first_self_speed,
+            default_speed=self._default_self_prefill_speed,
             free_s=now_s + self._event_s,
             now_s=now_s,
         )
@@ -330,32 +348,32 @@
     def drop(self, request_id: str, attempt: int) -> None:
         """Forget a reading that failed or is not waited for any more."""
         self._remove((request_id, attempt))
-        self._self_reads.drop((request_id, attempt))
+        self._self_prefills.drop((request_id, attempt))
 
     def reset_runner(self, runner_id: str) -> None:
         """Forget what a runner reads and how fast; it has started again."""
-        for key, reading in list(self._readings.items()):
-            if reading.reader_id == runner_id:
+        for key, prefill in list(self._prefills.items()):
+            if prefill.prefill_id == runner_id:
                 self._remove(key)
-        self._read_prompts.reset_runner(runner_id)
+        self._history.reset_runner(runner_id)
         self._speed_sum -= self._speeds.pop(runner_id, 0.0)
         self._sort(runner_id)
-        self._self_reads.reset_runner(runner_id)
+        self._self_prefills.reset_runner(runner_id)
 
     def may_self_prefill(
-        self, decoder: runner_info.RunnerInfo, now_s: float
+        self, decode_runner: runner_info.RunnerInfo, now_s: float
     ) -> bool:
         """Return whether a decode runner may read a prompt now.
 
         Its own streams stand still while it reads: it takes one prompt
         at a time.
         """
-        if not self._reservations.streams(decoder.runner_id):
+        if not self._reservations.stream_count(decode_runner.runner_id):
             return True
-        return self.self_prefill_free_s(decoder, now_s) <= now_s
+        return self.self_prefill_free_s(decode_runner, now_s) <= now_s
 
     def may_prefill_long(
-        self, decoder: runner_info.RunnerInfo, *, on_time: bool = True
+        self, decode_runner: runner_info.RunnerInfo, *, on_time: bool = True
     ) -> bool:
         """Return whether a decode runner may read a prompt of any length.
 
@@ -366,53 +384,53 @@
         on_time : bool
             Whether the prompt's own stream is on time.
         """
-        made_late = self._reservations.on_time(decoder.runner_id)
-        return made_late <= (MOST_MADE_LATE if on_time else 0)
+        made_late = self._reservations.on_time_count(decode_runner.runner_id)
+        return made_late <= (MAX_DELAYED_STREAMS if on_time else 0)
 
     def exceeds_pause_limit(self, request: placement.PlacementRequest) -> bool:
         """Return whether reading it holds streams up for too long."""
-        limit_s = request.pause_target_s or USUAL_PAUSE_S
+        limit_s = request.pause_target_s or DEFAULT_PAUSE_TARGET_S
         pause_s = self.pause_beside_s(request, None)
         return prefill_pause.is_too_long(pause_s, limit_s)
 
     def self_prefill_free_s(
-        self, decoder: runner_info.RunnerInfo, now_s: float
+        self, decode_runner: runner_info.RunnerInfo, now_s: float
     ) -> float:
         """Return when a decode runner has read what it was given."""
-        return self._self_reads.free_s(decoder.runner_id, now_s)
+        return self._self_prefills.free_s(decode_runner.runner_id, now_s)
 
-    def _queue_s(self, reader_id: str) -> float:
-        tokens = self._queued.get(reader_id, 0)
-        return tokens / self._speed(reader_id)
+    def _queue_s(self, prefill_id: str) -> float:
+        tokens = self._queued.get(prefill_id, 0)
+        return tokens / self._speed(prefill_id)
 
-    def _lapse(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         """Forget readings that nothing was heard of for too long."""
-        while self._readings:
-            key, oldest = next(iter(self._readings.items()))
-            if now_s - oldest.since_s <= FORGET_S:
+        while self._prefills:
+            key, oldest = next(iter(self._prefills.items()))
+            if now_s - oldest.started_s <= PREFILL_TIMEOUT_S:
                 return
             self._remove(key)
 
-    def _remove(self, key: tuple[str, int]) -> _Reading | None:
-        reading = self._readings.pop(key, None)
-        if reading is None:
+    def _remove(self, key: tuple[str, int]) -> _Prefill | None:
+        prefill = self._prefills.pop(key, None)
+        if prefill is None:
             return None
-        self._cached[reading.reader_id] -= reading.cached
-        left = self._queued.pop(reading.reader_id, 0) - reading.tokens
+        self._cached[prefill.prefill_id] -= prefill.is_cached
+        left = self._queued.pop(prefill.prefill_id, 0) - prefill.tokens
         if left > 0:
-            self._queued[reading.reader_id] = left
-        self._sort(reading.reader_id)
-        return reading
+            self._queued[prefill.prefill_id] = left
+        self._sort(prefill.prefill_id)
+        return prefill
 
-    def _sort(self, reader_id: str) -> None:
+    def _sort(self, prefill_id: str) -> None:
         """Put a prefill runner where its queue belongs in the order."""
-        known = self._key_of.pop(reader_id, None)
+        known = self._key_of.pop(prefill_id, None)
         if known is not None:
             self._order.remove(known)
-        if reader_id in self._readers:
-            key = (self._queue_s(reader_id), reader_id)
-            self._key_of[reader_id] = key
+        if prefill_id in self._prefill_runners:
+            key = (self._queue_s(prefill_id), prefill_id)
+            self._key_of[prefill_id] = key
             self._order.add(key)
 
-    def _speed(self, reader_id: str) -> float:
-        return self._speeds.get(reader_id, self.tokens_per_s)
+    def _speed(self, prefill_id: str) -> float:
+        return self._speeds.get(prefill_id, self.tokens_per_s)
--- a/limpetroute/routing/recent_samples.py
+++ b/limpetroute/routing/recent_samples.py
@@ -5,7 +5,7 @@
 # Samples that are looked back on, and how many of them the first guess
 # stands for: a few first ones may all be of one odd moment.
 SAMPLES = 16
-GUESSES = 4
+GUESS_WEIGHT = 4
 
 
 class RecentSamples:
@@ -18,7 +18,9 @@
     """
 
     def __init__(self, guess: float) -> None:
-        self._samples = collections.deque([guess] * GUESSES, maxlen=SAMPLES)
+        self._samples = collections.deque(
+            [guess] * GUESS_WEIGHT, maxlen=SAMPLES
+        )
         self._ordered = sorted(self._samples)
 
     def __repr__(self) -> str:
@@ -29,7 +31,7 @@
         self._samples.append(value)
         self._ordered = sorted(self._samples)
 
-    def quantile(self, part: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """Return the sample that this part of them does not exceed."""
         count = len(self._ordered)
-        return self._ordered[min(count - 1, int(count * part))]
+        return self._ordered[min(count - 1, int(count * fraction))]
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -20,7 +20,7 @@
 # Ends shorter than this say little of a stream's speed.
 LEAST_MEASURED_S = 0.2
 # Of fewer events, one long pause makes up the mean.
-LEAST_EVENTS = 8
+MIN_EVENTS = 8
 # Memory is planned with the deviation of answers as it was until it has
 # moved by this part: it moves a little with each answer, and with it the
 # room of every runner.
@@ -29,9 +29,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Reservation:
-    place: placement.Placement
+    placed: placement.Placement
     request: placement.PlacementRequest
-    outlook: memory_forecast.MemoryForecast
+    forecast: memory_forecast.MemoryForecast
     due_s: float
     expires_s: float
 
@@ -94,11 +94,11 @@
         """How far answers are from what was expected of them."""
         return math.sqrt(self._square_error.mean)
 
-    def room_tokens(self, streams: int) -> float:
+    def usable_tokens(self, streams: int) -> float:
         """Return the memory of a runner with so many streams to plan for."""
         known = self._rooms.get(streams)
         if known is None:
-            known = memory_headroom.room_tokens(
+            known = memory_headroom.usable_tokens(
                 self._engine.memory_tokens,
                 streams,
                 self._planned_deviation_tokens,
@@ -112,15 +112,15 @@
         That is until the first of the runner's streams ends; less may be
         free later. Minus infinity where all slots are taken.
         """
-        streams = self.streams(runner_id)
+        streams = self.stream_count(runner_id)
         if streams >= self._engine.slots:
             return -math.inf
         profile = self.profile(runner_id, now_s)
-        return self.room_tokens(streams + 1) - profile.first_peak_tokens
+        return self.usable_tokens(streams + 1) - profile.first_peak_tokens
 
     def add(
         self,
-        place: placement.Placement,
+        placed: placement.Placement,
         request: placement.PlacementRequest,
         *,
         sent_s: float,
@@ -143,30 +143,30 @@
             Whether that meets its target.
         """
         reserved = _Reservation(
-            place=place,
+            placed=placed,
             request=request,
-            outlook=self.outlook(request, begins_s),
+            forecast=self.forecast_memory(request, begins_s),
             due_s=sent_s + request.target_s,
             expires_s=sent_s + request.patience_s + 1.0,
         )
-        name = place.request_id
+        name = placed.request_id
         self._remove(name)
         self._reserved[name] = reserved
         heapq.heappush(self._expiries, (reserved.expires_s, name))
-        self._put_end(name, reserved.outlook.ends_s(begins_s))
-        self._runner(place.decode_id).add(
-            name, reserved.outlook, on_time=on_time
+        self._put_end(name, reserved.forecast.ends_s(begins_s))
+        self._runner(placed.decode_id).add(
+            name, reserved.forecast, on_time=on_time
         )
-        if place.prefill_id:
-            self._runner(place.prefill_id).add_prefill(name)
-        self._changed.add(place.decode_id)
+        if placed.prefill_id:
+            self._runner(placed.prefill_id).add_prefill(name)
+        self._changed.add(placed.decode_id)
 
     def drop(self, request_id: str) -> int | None:
         """Forget a reservation, learn nothing, and return its attempt."""
         reserved = self._remove(request_id)
         return reserved.request.attempt if reserved is not None else None
 
-    def end(self, end: placement.Release) -> placement.Placement | None:
+    def release(self, end: placement.Release) -> placement.Placement | None:
         """Release a slot, learn from its stream, and return its placement.
 
         Returns
@@ -181,15 +181,15 @@
         if reserved is None or reserved.request.attempt != end.attempt:
             return None
         self._remove(end.request_id)
-        self._note_pace(reserved.place.decode_id, end)
+        self._note_pace(reserved.placed.decode_id, end)
         if end.whole and not reserved.request.goes_on:
-            error = end.output_tokens - reserved.outlook.output_tokens
+            error = end.output_tokens - reserved.forecast.output_tokens
             self._note_error(error)
             self._lengths.learn(
-                said_tokens=reserved.request.output_tokens,
-                came_tokens=end.output_tokens,
+                estimated_tokens=reserved.request.output_tokens,
+                actual_tokens=end.output_tokens,
             )
-        return reserved.place
+        return reserved.placed
 
     def expire(self, now_s: float) -> None:
         """Drop reservations whose entry host died without a release."""
@@ -222,15 +222,15 @@
         freed, self._freed = self._freed, set()
         return freed
 
-    def streams(self, runner_id: str) -> int:
+    def stream_count(self, runner_id: str) -> int:
         """Return how many streams a runner decodes."""
         known = self._by_runner.get(runner_id)
-        return known.streams if known is not None else 0
+        return known.stream_count if known is not None else 0
 
-    def on_time(self, runner_id: str) -> int:
+    def on_time_count(self, runner_id: str) -> int:
         """Return how many of a runner's streams still meet their targets."""
         known = self._by_runner.get(runner_id)
-        return known.on_time if known is not None else 0
+        return known.on_time_count if known is not None else 0
 
     def on_time_ends_s(self, runner_id: str, now_s: float) -> list[float]:
         """Return when the streams of a runner that are on time end."""
@@ -247,7 +247,7 @@
         """Take note of when a stream's first event came."""
         reserved = self._reserved.get(request_id)
         if reserved is not None and now_s > reserved.due_s:
-            self._runner(reserved.place.decode_id).note_late(request_id)
+            self._runner(reserved.placed.decode_id).note_late(request_id)
 
     def uses(self, runner_id: str) -> int:
         """Return how many streams a runner prefills or decodes."""
@@ -267,19 +267,19 @@
         """
         while self._ends and self._ends[0][0] < now_s:
             _, request_id = self._ends[0]
-            outlook = self._reserved[request_id].outlook
+            forecast = self._reserved[request_id].forecast
             later_s = now_s + memory_profile.OVERDUE_STEP_S
-            self._put_end(request_id, max(later_s, outlook.ends_s(now_s)))
+            self._put_end(request_id, max(later_s, forecast.ends_s(now_s)))
         return [end_s for end_s, _ in self._ends.islice(0, count)]
 
     def expected_tokens(self, request: placement.PlacementRequest) -> int:
         """Return how long a stream's whole answer should become."""
         return self._lengths.tokens(
-            said_tokens=request.output_tokens,
+            estimated_tokens=request.output_tokens,
             most_tokens=request.most_output_tokens,
         )
 
-    def outlook(
+    def forecast_memory(
         self, request: placement.PlacementRequest, begins_s: float
     ) -> memory_forecast.MemoryForecast:
         """Return how a stream's memory grows if it begins then."""
@@ -307,14 +307,14 @@
         if reserved is None:
             return None
         self._ends.remove((self._end_of.pop(request_id), request_id))
-        place = reserved.place
-        for runner_id in filter(None, (place.decode_id, place.prefill_id)):
+        placed = reserved.placed
+        for runner_id in filter(None, (placed.decode_id, placed.prefill_id)):
             known = self._by_runner[runner_id]
             known.discard(request_id)
             if not known.uses:
                 del self._by_runner[runner_id]
-        self._changed.add(place.decode_id)
-        self._freed.add(place.decode_id)
+        self._changed.add(placed.decode_id)
+        self._freed.add(placed.decode_id)
         return reserved
 
     def _put_end(self, request_id: str, end_s: float) -> None:
@@ -326,7 +326,7 @@
 
     def _note_pace(self, runner_id: str, end: placement.Release) -> None:
         events = end.output_tokens / self._engine.tokens_per_event
-        if events < LEAST_EVENTS or end.decode_s < LEAST_MEASURED_S:
+        if events < MIN_EVENTS or end.decode_s < LEAST_MEASURED_S:
             return
         samples = self._event_s.get(runner_id)
         if samples is None:
--- a/limpetroute/routing/retry_after.py
+++ b/limpetroute/routing/retry_after.py
@@ -6,10 +6,10 @@
 # with less than two, the few streams in it say nothing.
 WINDOW_S = 2.0
 # Callers keep to a time of up to this part of what they have left.
-KEPT_PART = 1 / 3
+HONORED_SHARE = 1 / 3
 # With less than this part of the places that become free left for who
 # comes back, the shortage is taken to last.
-LEAST_SPARE_PART = 0.1
+MIN_SPARE_SHARE = 0.1
 MIN_RETRY_AFTER_S = 0.3
 
 
@@ -26,29 +26,29 @@
     """
 
     def __init__(self) -> None:
-        self._came_s: collections.deque[float] = collections.deque()
-        self._ended_s: collections.deque[float] = collections.deque()
+        self._arrivals_s: collections.deque[float] = collections.deque()
+        self._releases_s: collections.deque[float] = collections.deque()
 
     def __repr__(self) -> str:
         return (
-            f'{type(self).__name__}(came={len(self._came_s)!r}, '
-            f'ended={len(self._ended_s)!r})'
+            f'{type(self).__name__}(arrivals={len(self._arrivals_s)!r}, '
+            f'releases={len(self._releases_s)!r})'
         )
 
-    def note_new(self, now_s: float) -> None:
+    def note_arrival(self, now_s: float) -> None:
         """Count a stream that its caller sent for the first time."""
-        self._came_s.append(now_s)
+        self._arrivals_s.append(now_s)
 
-    def note_end(self, now_s: float) -> None:
+    def note_release(self, now_s: float) -> None:
         """Count a place that became free."""
-        self._ended_s.append(now_s)
+        self._releases_s.append(now_s)
 
     def retry_after_s(
         self,
         *,
-        place_s: float,
-        expected_back: int,
-        patience_s: float,
+        slot_wait_s: float,
+        expected_returns: int,
+        remaining_s: float,
         now_s: float,
     ) -> float:
         """Return the time after which a caller should come back.
@@ -64,12 +64,12 @@
         now_s : float
             A steady clock.
         """
-        latest_s = max(MIN_RETRY_AFTER_S, patience_s * KEPT_PART)
-        ended = _count(self._ended_s, now_s)
-        spare = ended - _count(self._came_s, now_s)
-        if spare <= ended * LEAST_SPARE_PART:
+        latest_s = max(MIN_RETRY_AFTER_S, remaining_s * HONORED_SHARE)
+        released = _count(self._releases_s, now_s)
+        spare = released - _count(self._arrivals_s, now_s)
+        if spare <= released * MIN_SPARE_SHARE:
             return latest_s
-        wait_s = place_s + expected_back * WINDOW_S / spare
+        wait_s = slot_wait_s + expected_returns * WINDOW_S / spare
         return min(latest_s, max(MIN_RETRY_AFTER_S, wait_s))
 
 
--- a/limpetroute/routing/retry_tracker.py
+++ b/limpetroute/routing/retry_tracker.py
@@ -9,18 +9,18 @@
 
 # Callers forget nothing sooner than their patience ends; this bounds the
 # memory where thousands are refused each second (about 200 bytes each).
-MAX_KNOWN = 20_000
+MAX_TRACKED = 20_000
 # What became of callers who came back is counted over this time, and from
 # so many on.
-OUTCOMES_S = 8.0
-LEAST_OUTCOMES = 6
+OUTCOME_WINDOW_S = 8.0
+MIN_OUTCOMES = 6
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Refused:
     first_sent_s: float
-    forget_s: float
-    is_back: bool = False
+    expires_s: float
+    has_returned: bool = False
 
 
 class RetryTracker:
@@ -51,12 +51,12 @@
     ) -> float:
         """Return when a stream's caller asked for the first time."""
         known = self._refused.get(_key(request))
-        if known is None or now_s > known.forget_s:
+        if known is None or now_s > known.expires_s:
             return sent_s
         self._stop_waiting(_key(request), known)
         return min(sent_s, known.first_sent_s)
 
-    def note(
+    def note_refused(
         self,
         request: placement.PlacementRequest,
         first_sent_s: float,
@@ -69,33 +69,33 @@
         self._remove(_key(request))
         refused = _Refused(
             first_sent_s=first_sent_s,
-            forget_s=now_s + request.patience_s - request.waited_s,
+            expires_s=now_s + request.patience_s - request.waited_s,
         )
         self._refused[_key(request)] = refused
-        self._awaited.add((refused.forget_s, _key(request)))
-        self._forget(now_s)
+        self._awaited.add((refused.expires_s, _key(request)))
+        self._expire(now_s)
 
-    def expected(self, now_s: float) -> int:
+    def expected_returns(self, now_s: float) -> int:
         """Return how many callers have yet to come back."""
         over = self._awaited.bisect_left((now_s, ''))
         return len(self._awaited) - over
 
-    def served(
+    def note_served(
         self, request: placement.PlacementRequest, now_s: float
     ) -> None:
         """Forget a stream that got a place."""
         self._note_outcome(request, now_s, served=True)
         self._remove(_key(request))
 
-    def served_part(self, now_s: float) -> float | None:
+    def served_share(self, now_s: float) -> float | None:
         """Return which part of those who came back of late got a place.
 
         None while too few came.
         """
         outcomes = self._outcomes
-        while outcomes and now_s - outcomes[0][0] > OUTCOMES_S:
+        while outcomes and now_s - outcomes[0][0] > OUTCOME_WINDOW_S:
             outcomes.popleft()
-        if len(outcomes) < LEAST_OUTCOMES:
+        if len(outcomes) < MIN_OUTCOMES:
             return None
         return sum(served for _, served in outcomes) / len(outcomes)
 
@@ -107,15 +107,15 @@
         served: bool,
     ) -> None:
         known = self._refused.get(_key(request))
-        if known is not None and known.is_back:
+        if known is not None and known.has_returned:
             self._outcomes.append((now_s, served))
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         """Drop the oldest ones that are over, or too many."""
         while self._refused:
             oldest = next(iter(self._refused))
-            is_over = now_s > self._refused[oldest].forget_s
-            if not is_over and len(self._refused) <= MAX_KNOWN:
+            is_over = now_s > self._refused[oldest].expires_s
+            if not is_over and len(self._refused) <= MAX_TRACKED:
                 return
             self._remove(oldest)
 
@@ -125,9 +125,9 @@
             self._stop_waiting(key, known)
 
     def _stop_waiting(self, key: str, known: _Refused) -> None:
-        if not known.is_back:
-            known.is_back = True
-            self._awaited.remove((known.forget_s, key))
+        if not known.has_returned:
+            known.has_returned = True
+            self._awaited.remove((known.expires_s, key))
 
 
 def _key(request: placement.PlacementRequest) -> str:
--- a/limpetroute/routing/runner_reservations.py
+++ b/limpetroute/routing/runner_reservations.py
@@ -20,7 +20,7 @@
         )
 
     @property
-    def streams(self) -> int:
+    def stream_count(self) -> int:
         """Number of streams that the runner decodes."""
         return len(self._streams)
 
@@ -35,19 +35,19 @@
         return list(self._streams)
 
     @property
-    def on_time(self) -> int:
+    def on_time_count(self) -> int:
         """Number of streams that a longer pause would make late."""
         return len(self._on_time)
 
     def add(
         self,
         request_id: str,
-        outlook: memory_forecast.MemoryForecast,
+        forecast: memory_forecast.MemoryForecast,
         *,
         on_time: bool,
     ) -> None:
         """Add a stream that the runner decodes."""
-        self._streams[request_id] = outlook
+        self._streams[request_id] = forecast
         self._profile = None
         if on_time:
             self._on_time.add(request_id)
@@ -81,7 +81,7 @@
     def profile(self, now_s: float) -> memory_profile.MemoryProfile:
         """Return the memory that its streams take until each one ends."""
         known = self._profile
-        if known is None or now_s >= known.fresh_until_s:
+        if known is None or now_s >= known.valid_until_s:
             known = memory_profile.MemoryProfile(self._streams.values(), now_s)
             self._profile = known
         return known
--- a/limpetroute/routing/self_prefill_tracker.py
+++ b/limpetroute/routing/self_prefill_tracker.py
@@ -9,14 +9,14 @@
 
 # From the send of a prompt to its first event, beside the reading: the
 # way to the runner and back, and the first step.
-WAY_S = 0.01
-LEAST_TOOK_S = 0.001
+NETWORK_DELAY_S = 0.01
+MIN_TOOK_S = 0.001
 # The part of the first events that come no later than is planned.
-PLANNED_PART = 0.8
+OVERHEAD_QUANTILE = 0.8
 # A prompt whose first event nobody has told of counts as being read for
 # this many times the time that it should take, and no less than this.
 OVERDUE_FACTOR = 2.0
-LEAST_OVERDUE_S = 1.5
+MIN_OVERDUE_S = 1.5
 # How soon an overdue reading is taken to end, again and again.
 OVERDUE_STEP_S = 0.05
 
@@ -27,12 +27,12 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Reading:
+class _Prefill:
     runner_id: str
     tokens: int
     ends_s: float
-    lapses_s: float
-    measures: bool
+    expires_s: float
+    is_measurable: bool
 
 
 class SelfPrefillTracker:
@@ -45,20 +45,22 @@
     """
 
     def __init__(self) -> None:
-        self._readings: dict[Key, _Reading] = {}
-        self._of_runner: dict[str, Key] = {}
+        self._prefills: dict[Key, _Prefill] = {}
+        self._current: dict[str, Key] = {}
         self._free_s: dict[str, float] = {}
         self._speeds: dict[str, recent_samples.RecentSamples] = {}
-        self._overheads = recent_samples.RecentSamples(stream_times.OVERHEAD_S)
-        self._read_prompts = prefill_history.PrefillHistory()
+        self._overheads = recent_samples.RecentSamples(
+            stream_times.FIRST_EVENT_OVERHEAD_S
+        )
+        self._history = prefill_history.PrefillHistory()
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(readings={len(self._readings)!r})'
+        return f'{type(self).__name__}(prefills={len(self._prefills)!r})'
 
     @property
     def overhead_s(self) -> float:
         """Time from a placement to the first event, beside the reading."""
-        return self._overheads.quantile(PLANNED_PART)
+        return self._overheads.quantile(OVERHEAD_QUANTILE)
 
     def tokens_per_s(self, runner_id: str | None = None) -> float | None:
         """Return how fast a runner reads; None until it is measured.
@@ -80,7 +82,7 @@
         runner_id: str,
         *,
         tokens: int,
-        read_s: float,
+        prefill_s: float,
         now_s: float,
     ) -> None:
         """Take note of a prompt that a decode runner reads from now on.
@@ -99,24 +101,24 @@
             A steady clock.
         """
         key = (request.request_id, request.attempt)
-        was_read = self._read_prompts.note(runner_id, request)
-        overdue_s = max(LEAST_OVERDUE_S, read_s * OVERDUE_FACTOR)
-        self._readings[key] = _Reading(
+        was_prefilled = self._history.note(runner_id, request)
+        overdue_s = max(MIN_OVERDUE_S, prefill_s * OVERDUE_FACTOR)
+        self._prefills[key] = _Prefill(
             runner_id=runner_id,
             tokens=tokens,
-            ends_s=now_s + read_s,
-            lapses_s=now_s + overdue_s,
+            ends_s=now_s + prefill_s,
+            expires_s=now_s + overdue_s,
             # Of a resumed stream, some runner has the prompt in its cache.
-            measures=not was_read and not request.goes_on,
+            is_measurable=not was_prefilled and not request.goes_on,
         )
-        self._of_runner[runner_id] = key
+        self._current[runner_id] = key
 
-    def done(
+    def note_first_event(
         self,
         key: Key,
         took_s: float,
         *,
-        usual_speed: float,
+        default_speed: float,
         free_s: float,
         now_s: float,
     ) -> None:
@@ -136,48 +138,50 @@
         now_s : float
             A steady clock.
         """
-        reading = self._end(key, free_s)
-        if reading is None or not reading.measures:
+        prefill = self._end(key, free_s)
+        if prefill is None or not prefill.is_measurable:
             return
-        speed = reading.tokens / max(LEAST_TOOK_S, took_s - WAY_S)
-        for name in (reading.runner_id, ALL_RUNNERS):
+        speed = prefill.tokens / max(MIN_TOOK_S, took_s - NETWORK_DELAY_S)
+        for name in (prefill.runner_id, ALL_RUNNERS):
             if name not in self._speeds:
-                self._speeds[name] = recent_samples.RecentSamples(usual_speed)
+                self._speeds[name] = recent_samples.RecentSamples(
+                    default_speed
+                )
             self._speeds[name].note(speed)
-        self._overheads.note(now_s - reading.ends_s)
+        self._overheads.note(now_s - prefill.ends_s)
 
     def drop(self, key: Key) -> None:
         """Forget a prompt whose stream is over."""
-        reading = self._readings.get(key)
-        if reading is not None:
+        prefill = self._prefills.get(key)
+        if prefill is not None:
             self._end(key, 0.0)
 
     def reset_runner(self, runner_id: str) -> None:
         """Forget what a runner reads and how fast; it has started again."""
-        for key, reading in list(self._readings.items()):
-            if reading.runner_id == runner_id:
-                del self._readings[key]
-        self._of_runner.pop(runner_id, None)
+        for key, prefill in list(self._prefills.items()):
+            if prefill.runner_id == runner_id:
+                del self._prefills[key]
+        self._current.pop(runner_id, None)
         self._free_s.pop(runner_id, None)
         self._speeds.pop(runner_id, None)
-        self._read_prompts.reset_runner(runner_id)
+        self._history.reset_runner(runner_id)
 
     def free_s(self, runner_id: str, now_s: float) -> float:
         """Return when a runner may read the next prompt."""
-        key = self._of_runner.get(runner_id)
+        key = self._current.get(runner_id)
         if key is None:
             return max(now_s, self._free_s.get(runner_id, now_s))
-        reading = self._readings[key]
-        if now_s >= reading.lapses_s:
+        prefill = self._prefills[key]
+        if now_s >= prefill.expires_s:
             self._end(key, now_s)
             return now_s
-        return max(reading.ends_s, now_s + OVERDUE_STEP_S)
+        return max(prefill.ends_s, now_s + OVERDUE_STEP_S)
 
-    def _end(self, key: Key, free_s: float) -> _Reading | None:
-        reading = self._readings.pop(key, None)
-        if reading is None:
+    def _end(self, key: Key, free_s: float) -> _Prefill | None:
+        prefill = self._prefills.pop(key, None)
+        if prefill is None:
             return None
-        if self._of_runner.get(reading.runner_id) == key:
-            del self._of_runner[reading.runner_id]
-            self._free_s[reading.runner_id] = free_s
-        return reading
+        if self._current.get(prefill.runner_id) == key:
+            del self._current[prefill.runner_id]
+            self._free_s[prefill.runner_id] = free_s
+        return prefill
--- a/limpetroute/routing/shutdown_admission.py
+++ b/limpetroute/routing/shutdown_admission.py
@@ -3,7 +3,7 @@
 # Streams are slower than usual while runners are full or preempt them.
 SPEED_MARGIN = 1.5
 # From its arrival to its first event, where nothing has to be waited for.
-BEGIN_S = 0.6
+FIRST_EVENT_S = 0.6
 
 
 def ends_before_shutdown(
@@ -28,5 +28,5 @@
     left_s : float
         Time until this host breaks off what is still open.
     """
-    needed_s = BEGIN_S + SPEED_MARGIN * max_tokens / tokens_per_s
+    needed_s = FIRST_EVENT_S + SPEED_MARGIN * max_tokens / tokens_per_s
     return needed_s <= remaining_s
--- a/limpetroute/routing/startup_wait.py
+++ b/limpetroute/routing/startup_wait.py
@@ -2,12 +2,12 @@
 
 # Hosts that lost power together: control hosts start and elect a leader
 # within 0.9 to 1.3 s of their entry hosts' first request.
-LONGEST_WAIT_S = 1.3
+MAX_WAIT_S = 1.3
 # A host that has heard nothing for longer is cut off, and what it waits
 # for may not come.
-YOUNG_S = 3.0
+STARTUP_S = 3.0
 # Of the time that a caller gives. Plain callers give three seconds.
-PATIENCE_PART = 1 / 4
+DEADLINE_SHARE = 1 / 4
 
 
 def max_wait_s(*, age_s: float, deadline_s: float | None) -> float:
@@ -27,8 +27,8 @@
     patience_s : float or None
         Time that the caller gives; None if it does not say.
     """
-    if age_s > YOUNG_S:
+    if age_s > STARTUP_S:
         return 0.0
     if deadline_s is None:
-        return LONGEST_WAIT_S
-    return min(LONGEST_WAIT_S, deadline_s * PATIENCE_PART)
+        return MAX_WAIT_S
+    return min(MAX_WAIT_S, deadline_s * DEADLINE_SHARE)
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -29,7 +29,7 @@
 # As many streams that cannot make their target any more may wait as this
 # part of those that run at once; the rest are told at once when to come
 # back.
-LATE_PART = 1 / 6
+LATE_WAITING_SHARE = 1 / 6
 # While streams wait that can still make it, one place in this many goes
 # to one that cannot: a late answer is worth a part, but not nothing.
 LATE_ADMISSION_INTERVAL = 8
@@ -208,45 +208,47 @@
 
         ``took_s`` is the time from the send to the event.
         """
-        self._prefill.first_event(request_id, attempt, took_s, now_s)
+        self._prefill.note_first_event(request_id, attempt, took_s, now_s)
         self._reservations.note_first_event(request_id, now_s)
 
     def note_prefill_done(
         self, request_id: str, attempt: int, now_s: float
     ) -> None:
         """Take note that a prompt was read apart."""
-        reader_id = self._prefill.done(request_id, attempt, now_s)
-        if reader_id is not None:
-            self._outliers.went_well(reader_id)
+        prefill_id = self._prefill.note_prefill_done(
+            request_id, attempt, now_s
+        )
+        if prefill_id is not None:
+            self._outliers.went_well(prefill_id)
 
     def release(self, end: placement.Release, now_s: float) -> None:
         """Take a place back and learn from how the stream went."""
-        place = self._reservations.end(end)
+        placed = self._reservations.release(end)
         self._prefill.drop(end.request_id, end.attempt)
-        if place is not None:
-            self._admission.released(now_s)
+        if placed is not None:
+            self._admission.note_release(now_s)
         for runner_id in end.full:
-            seen = self._reservations.streams(runner_id)
+            seen = self._reservations.stream_count(runner_id)
             self._outliers.full(runner_id, self._engine.slots - seen, now_s)
         for runner_id in end.failed:
             self._outliers.failed(runner_id, now_s)
-        if place is not None and end.whole and not end.failed:
+        if placed is not None and end.whole and not end.failed:
             # One that its caller gave up says nothing of the runner. Of the
             # reader none does: its part was over seconds ago, and it may
             # be gone since.
-            self._outliers.went_well(place.decode_id)
+            self._outliers.went_well(placed.decode_id)
 
     def restore(
         self,
-        place: placement.Placement,
+        placed: placement.Placement,
         request: placement.PlacementRequest,
         now_s: float,
     ) -> None:
         """Take note of a place that another host gave before."""
-        if place.request_id in self._reservations:
+        if placed.request_id in self._reservations:
             return
         self._reservations.add(
-            place,
+            placed,
             request,
             sent_s=now_s - request.waited_s,
             begins_s=now_s,
@@ -266,10 +268,10 @@
         for some seconds they refuse all, and are announced as they were.
         """
         self._reservations.expire(now_s)
-        others = self._fleet.refresh(runners, changing, now_s)
-        full = others or now_s - self._full_pass_s >= FULL_PASS_S
-        if others:
-            self._prefill.use(
+        is_changed = self._fleet.refresh(runners, changing, now_s)
+        full = is_changed or now_s - self._full_pass_s >= FULL_PASS_S
+        if is_changed:
+            self._prefill.set_runners(
                 self._fleet.prefill_runners, self._fleet.decode_runners
             )
         if full:
@@ -293,8 +295,10 @@
 
     def _in_time(self, one: waiting_stream.WaitingStream, at_s: float) -> bool:
         """Return whether a place given then makes the stream's target."""
-        has_reader = bool(self._fleet.prefill_runners)
-        needed_s = self._prefill.to_first_event_s(one.request, has_reader)
+        has_prefill_runner = bool(self._fleet.prefill_runners)
+        needed_s = self._prefill.first_event_delay_s(
+            one.request, has_prefill_runner
+        )
         return one.can_meet_target(at_s, needed_s)
 
     # Placement
@@ -333,7 +337,7 @@
             # One that cannot be read yet waits for streams to end, not
             # for room: room that is kept free for it would stand empty.
             if waited_s > HEAD_OF_LINE_TIMEOUT_S and (
-                self._estimate.can_be_read(one.request)
+                self._estimate.can_be_prefilled(one.request)
             ):
                 break
         return placements
@@ -348,31 +352,33 @@
             self._in_time_in_a_row += 1
         else:
             self._in_time_in_a_row = 0
-        reader = chosen.reader
+        prefill_runner = chosen.reader
         expected = self._forecast(one, chosen, now_s)
-        place = placement.Placement(
+        placed = placement.Placement(
             request_id=one.request_id,
             decode_id=chosen.decoder.runner_id,
-            prefill_id=reader.runner_id if reader else '',
+            prefill_id=prefill_runner.runner_id if prefill_runner else '',
             forecast=expected,
         )
         self._limits.take(chosen.decoder.runner_id, now_s)
-        if reader is not None:
-            self._limits.take(reader.runner_id, now_s)
+        if prefill_runner is not None:
+            self._limits.take(prefill_runner.runner_id, now_s)
         self._waiting.remove(one.request_id)
-        self._admission.served(one.request, now_s)
-        self._prefill.take(one.request, reader, chosen.decoder, now_s)
-        if reader is None and self._prefill.exceeds_pause_limit(one.request):
-            self._reservations.note_long_pause(place.decode_id)
+        self._admission.note_served(one.request, now_s)
+        self._prefill.add(one.request, prefill_runner, chosen.decoder, now_s)
+        if prefill_runner is None and self._prefill.exceeds_pause_limit(
+            one.request
+        ):
+            self._reservations.note_long_pause(placed.decode_id)
         self._reservations.add(
-            place,
+            placed,
             one.request,
             sent_s=one.sent_s,
             begins_s=chosen.ready_s,
             on_time=expected.in_time,
         )
         self._fleet.update(now_s)
-        return place
+        return placed
 
     def _forecast(
         self,
@@ -385,9 +391,11 @@
             queued_s=now_s - one.sent_s - one.request.waited_s,
             first_event_s=chosen.ready_s - one.sent_s,
             in_time=one.meets_targets(chosen.ready_s),
-            beside=self._reservations.streams(decode_id),
+            beside=self._reservations.stream_count(decode_id),
             pause_s=self._prefill.pause_beside_s(one.request, chosen.reader),
-            read_tokens_per_s=self._prefill.speed(chosen.reader),
+            read_tokens_per_s=self._prefill.prefill_tokens_per_s(
+                chosen.reader
+            ),
         )
 
     # Rejection
@@ -400,8 +408,8 @@
         Between full passes only new streams are looked at, behind those
         that were found to have a turn.
         """
-        has_decoder = bool(self._fleet.decode_runners)
-        late_room = max(1, round(self._streams_at_once * LATE_PART))
+        has_decode_runner = bool(self._fleet.decode_runners)
+        late_limit = max(1, round(self._streams_at_once * LATE_WAITING_SHARE))
         room = capacity_probe.CapacityProbe(
             decode_placement=self._decode_placement, now_s=now_s
         )
@@ -412,16 +420,23 @@
         for one in self._waiting.in_order(late_first=late_first):
             if full or not one.is_examined:
                 one.is_examined = True
-                has_room = not one.fits_nowhere and room.has_room(one.request)
-                turn_s = self._estimate.turn_s(one.request, ahead, has_room)
-                too_late = turn_s - one.sent_s > one.max_wait_s
-                one.counts_in_queue = has_decoder and (
-                    self._in_time(one, turn_s)
+                has_free_runner = (
+                    not one.fits_nowhere and room.has_free_runner(one.request)
+                )
+                start_s = self._estimate.start_s(
+                    one.request, ahead, has_free_runner
+                )
+                too_late = start_s - one.sent_s > one.max_wait_s
+                one.counts_in_queue = has_decode_runner and (
+                    self._in_time(one, start_s)
                     or (one.request.goes_on and not too_late)
                 )
                 overdue = now_s - one.sent_s > one.max_wait_s
                 if not one.counts_in_queue and (
-                    not has_decoder or late >= late_room or too_late or overdue
+                    not has_decode_runner
+                    or late >= late_limit
+                    or too_late
+                    or overdue
                 ):
                     rejections.append(self._reject(one, now_s))
                     continue
@@ -445,5 +460,5 @@
         self, one: waiting_stream.WaitingStream, now_s: float
     ) -> placement.Rejection:
         self._waiting.remove(one.request_id)
-        place_s = self._estimate.place_s(len(self._waiting))
-        return self._admission.reject(one, place_s, now_s)
+        slot_free_s = self._estimate.slot_free_s(len(self._waiting))
+        return self._admission.reject(one, slot_free_s, now_s)
--- a/limpetroute/routing/waiting_queue.py
+++ b/limpetroute/routing/waiting_queue.py
@@ -8,11 +8,11 @@
 from limpetroute.routing import waiting_stream
 
 # First parts of the keys by which streams are sorted.
-BEGUN = 0
+RESUMED = 0
 IN_TIME = 1
 LATE = 2
 
-InTime = typing.Callable[[waiting_stream.WaitingStream], bool]
+CanMeetTarget = typing.Callable[[waiting_stream.WaitingStream], bool]
 
 
 class WaitingQueue:
@@ -46,7 +46,7 @@
         number = next(self._numbers)
         key: tuple[float, ...]
         if request.goes_on:
-            key = (BEGUN, stream.sent_s, number)
+            key = (RESUMED, stream.sent_s, number)
         elif in_time:
             key = (IN_TIME, request.may_repeat, stream.due_s, number)
         else:
@@ -60,7 +60,7 @@
         if self._streams.pop(request_id, None) is not None:
             del self._order[self._keys.pop(request_id)]
 
-    def sort(self, in_time: InTime) -> None:
+    def sort(self, in_time: CanMeetTarget) -> None:
         """Move streams that are late by now, or in time again."""
         for stream in list(self._order.values()):
             if stream.request.goes_on:
--- a/tests/routing/full_fleet.py
+++ b/tests/routing/full_fleet.py
@@ -18,17 +18,18 @@
     def __init__(self, runners, waiting):
         self.now_s = 0.0
         self.scheduler = stream_scheduler.StreamScheduler(engine=ENGINE)
-        readers = max(1, runners // 3)
+        prefill_runners = max(1, runners // 3)
         self.runners = [
             builders.make_runner(f'p{n}', builders.PREFILL)
-            for n in range(readers)
+            for n in range(prefill_runners)
         ]
         self.runners += [
-            builders.make_runner(f'd{n}') for n in range(runners - readers)
+            builders.make_runner(f'd{n}')
+            for n in range(runners - prefill_runners)
         ]
         self.held = []
         self.asked = 0
-        for number, runner in enumerate(self.runners[readers:]):
+        for number, runner in enumerate(self.runners[prefill_runners:]):
             for n in range(6):
                 self._adopt(f'h{number}-{n}', runner.runner_id)
         self.now_s = 1.0
--- a/tests/routing/stream_play.py
+++ b/tests/routing/stream_play.py
@@ -14,7 +14,7 @@
 PATIENCE_S = 14.0
 TARGET_S = 0.9
 # Callers wait as told, up to this part of the time they have left.
-KEPT_PART = 1 / 3
+HONORED_SHARE = 1 / 3
 
 
 @dataclasses.dataclass(frozen=True, order=True)
@@ -29,25 +29,27 @@
 class Stream:
     sent_s: float
     prompt_tokens: int
-    said_tokens: int
-    came_tokens: int
+    estimated_tokens: int
+    actual_tokens: int
 
 
 class StreamPlay:
     """A base load, a burst, and callers that come back once."""
 
-    def __init__(self, seed, *, writers, base, peak, burst, until_s=30.0):
+    def __init__(
+        self, seed, *, decode_runners, base, peak, burst, until_s=30.0
+    ):
         self.rng = random.Random(seed)
         self.scheduler = stream_scheduler.StreamScheduler(
             engine=builders.ENGINE
         )
         self.fleet = [builders.make_runner('p', builders.PREFILL)]
-        for n in range(writers):
+        for n in range(decode_runners):
             self.fleet.append(builders.make_runner(f'd{n}'))
         self.events = []
         self.streams = {}
         self.counts = collections.Counter()
-        self.read_s = 0.0
+        self.prefill_free_s = 0.0
         now_s = 0.0
         while now_s < until_s:
             in_burst = burst[0] <= now_s < burst[1]
@@ -56,16 +58,16 @@
             self.streams[f's{len(self.streams)}'] = self.draw(now_s)
 
     def draw(self, sent_s):
-        came = min(9620, round(4800 * self.rng.lognormvariate(0, 0.5)))
+        actual = min(9620, round(4800 * self.rng.lognormvariate(0, 0.5)))
         return Stream(
             sent_s=sent_s,
             prompt_tokens=min(
                 11_000, round(4400 * self.rng.lognormvariate(0, 0.5))
             ),
-            said_tokens=min(
-                9620, round(came * self.rng.lognormvariate(0, 0.5))
+            estimated_tokens=min(
+                9620, round(actual * self.rng.lognormvariate(0, 0.5))
             ),
-            came_tokens=came,
+            actual_tokens=actual,
         )
 
     def add(self, at_s, kind, name):
@@ -92,8 +94,8 @@
             self.scheduler.release(
                 placement.Release(
                     request_id=event.name,
-                    output_tokens=stream.came_tokens,
-                    decode_s=stream.came_tokens / TOKENS_PER_S,
+                    output_tokens=stream.actual_tokens,
+                    decode_s=stream.actual_tokens / TOKENS_PER_S,
                     whole=True,
                 ),
                 now_s,
@@ -103,7 +105,7 @@
             builders.make_request(
                 event.name,
                 prompt_tokens=stream.prompt_tokens,
-                output_tokens=stream.said_tokens,
+                output_tokens=stream.estimated_tokens,
                 patience_s=PATIENCE_S - (now_s - stream.sent_s),
                 prompt_id=event.name.removesuffix('-again'),
             ),
@@ -115,18 +117,18 @@
         stream = self.streams[name.removesuffix('-again')]
         left_s = PATIENCE_S - (now_s - stream.sent_s)
         if isinstance(answer, placement.Placement):
-            self.read_s = max(self.read_s, now_s)
-            self.read_s += stream.prompt_tokens / 50_000
-            self.add(self.read_s, 'read', name)
-            first_s = self.read_s + 0.09
+            self.prefill_free_s = max(self.prefill_free_s, now_s)
+            self.prefill_free_s += stream.prompt_tokens / 50_000
+            self.add(self.prefill_free_s, 'read', name)
+            first_s = self.prefill_free_s + 0.09
             in_time = first_s <= stream.sent_s + TARGET_S
             self.counts['in time' if in_time else 'late'] += 1
-            ends_s = first_s + stream.came_tokens / TOKENS_PER_S
+            ends_s = first_s + stream.actual_tokens / TOKENS_PER_S
             self.add(ends_s, 'end', name)
         elif name.endswith('-again'):
             self.counts['lost'] += 1
         else:
-            wait_s = min(answer.retry_after_s, left_s * KEPT_PART)
+            wait_s = min(answer.retry_after_s, left_s * HONORED_SHARE)
             self.add(now_s + wait_s, 'back', f'{name}-again')
 
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -25,7 +25,7 @@
         again = make_stream(f'{n}', 4.0, 0.0)
         assert admitted.first_sent_s(again.request, 4.0, 4.0) == 0.0
         if n < served:
-            admitted.served(again.request, 4.0)
+            admitted.note_served(again.request, 4.0)
         else:
             admitted.reject(again, 4.5, 4.0)
 
--- a/tests/routing/test_decode_placement.py
+++ b/tests/routing/test_decode_placement.py
@@ -57,17 +57,17 @@
 
     def expected(self, request):
         """Return the best rank over all runners, looked at one by one."""
-        outlook = self.reserved.outlook(request, NOW_S)
+        forecast = self.reserved.forecast_memory(request, NOW_S)
         best = None
         for runner in self.runners:
             streams = self.streams[runner.runner_id]
             if len(streams) >= builders.ENGINE.slots:
                 continue
-            room = self.reserved.room_tokens(len(streams) + 1)
+            room = self.reserved.usable_tokens(len(streams) + 1)
             profile = memory_profile.MemoryProfile(streams, NOW_S)
             peak = max(
-                memory_forecast.peak_tokens([*streams, outlook], NOW_S),
-                profile.first_peak_tokens + outlook.prompt_tokens,
+                memory_forecast.peak_tokens([*streams, forecast], NOW_S),
+                profile.first_peak_tokens + forecast.prompt_tokens,
             )
             if peak > room:
                 continue
@@ -79,15 +79,15 @@
         return best
 
     def take(self, request, runner):
-        place = placement.Placement(
+        placed = placement.Placement(
             request_id=request.request_id,
             decode_id=runner.runner_id,
             prefill_id='',
         )
         self.streams[runner.runner_id].append(
-            self.reserved.outlook(request, NOW_S)
+            self.reserved.forecast_memory(request, NOW_S)
         )
-        self.reserved.add(place, request, sent_s=NOW_S, begins_s=NOW_S)
+        self.reserved.add(placed, request, sent_s=NOW_S, begins_s=NOW_S)
         self.fleet.update(NOW_S)
 
 
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -13,7 +13,7 @@
 class Known:
     """A fleet of decode and prefill runners."""
 
-    def __init__(self, decoders, readers=4):
+    def __init__(self, decode_runners, prefill_runners=4):
         self.reserved = reservations.Reservations(engine=builders.ENGINE)
         self.outliers = outlier_detector.OutlierDetector(
             uses=self.reserved.uses
@@ -23,10 +23,12 @@
             outliers=self.outliers,
             limits=runner_limits.RunnerLimits(),
         )
-        self.runners = [builders.make_runner(f'd{n}') for n in range(decoders)]
+        self.runners = [
+            builders.make_runner(f'd{n}') for n in range(decode_runners)
+        ]
         self.runners += [
             builders.make_runner(f'p{n}', builders.PREFILL)
-            for n in range(readers)
+            for n in range(prefill_runners)
         ]
 
     def refresh(self, now_s, changing=()):
@@ -69,8 +71,8 @@
 def test_an_ejection_costs_no_more_on_a_larger_fleet():
     """One runner that failed had the order of all others made anew."""
     lines = []
-    for decoders in (45, 900):
-        known = Known(decoders)
+    for decode_runners in (45, 900):
+        known = Known(decode_runners)
         known.refresh(0.0)
         known.outliers.failed('d1', 0.0)
         counter = work_counter.WorkCounter()
--- a/tests/routing/test_memory_headroom.py
+++ b/tests/routing/test_memory_headroom.py
@@ -5,17 +5,17 @@
 from limpetroute.routing import memory_headroom
 
 
-def part(memory_tokens, streams, deviation_tokens):
-    room = memory_headroom.room_tokens(
+def reserved_share(memory_tokens, streams, deviation_tokens):
+    usable = memory_headroom.usable_tokens(
         memory_tokens, streams, deviation_tokens
     )
-    return 1 - room / memory_tokens
+    return 1 - usable / memory_tokens
 
 
 def test_long_answers_keep_a_tenth_free():
     """Twelve answers of 5,000 tokens, each off by 1,500."""
-    assert 0.07 < part(135_015, 12, 1500) < 0.11
-    assert 0.09 < part(78_413, 9, 1500) < 0.13
+    assert 0.07 < reserved_share(135_015, 12, 1500) < 0.11
+    assert 0.09 < reserved_share(78_413, 9, 1500) < 0.13
 
 
 def test_short_answers_to_long_prompts_keep_a_fiftieth_free():
@@ -23,10 +23,13 @@
 
     With a tenth kept free, every thirteenth stream found no place.
     """
-    assert part(52_113, 9, 200) < 0.04
+    assert reserved_share(52_113, 9, 200) < 0.04
 
 
 def test_some_is_always_free_and_most_is_never_kept():
-    least, most = memory_headroom.LEAST_PART, memory_headroom.MOST_PART
-    assert part(50_000, 1, 0) == pytest.approx(least)
-    assert part(50_000, 64, 50_000) == pytest.approx(most)
+    least, most = (
+        memory_headroom.MIN_RESERVED_SHARE,
+        memory_headroom.MAX_RESERVED_SHARE,
+    )
+    assert reserved_share(50_000, 1, 0) == pytest.approx(least)
+    assert reserved_share(50_000, 64, 50_000) == pytest.approx(most)
--- a/tests/routing/test_memory_profile.py
+++ b/tests/routing/test_memory_profile.py
@@ -9,7 +9,7 @@
 
 NOW_S = 100.0
 
-outlooks = st.builds(
+forecasts = st.builds(
     memory_forecast.MemoryForecast,
     prompt_tokens=st.integers(0, 12_000),
     output_tokens=st.integers(0, 5000),
@@ -20,8 +20,8 @@
 
 
 @hypothesis.given(
-    streams=st.lists(outlooks, max_size=16),
-    another=outlooks,
+    streams=st.lists(forecasts, max_size=16),
+    another=forecasts,
 )
 def test_a_profile_tells_the_peak_with_another_stream(streams, another):
     profile = memory_profile.MemoryProfile(streams, NOW_S)
@@ -32,7 +32,7 @@
     assert profile.peak_with(another, NOW_S) == pytest.approx(expected)
 
 
-@hypothesis.given(streams=st.lists(outlooks, min_size=1, max_size=16))
+@hypothesis.given(streams=st.lists(forecasts, min_size=1, max_size=16))
 def test_what_is_taken_first_is_what_all_streams_take_then(streams):
     profile = memory_profile.MemoryProfile(streams, NOW_S)
     first_s = profile.ends_s[0]
@@ -49,9 +49,9 @@
         tokens_per_s=500.0,
     )
     profile = memory_profile.MemoryProfile([stream], NOW_S)
-    assert profile.fresh_until_s == NOW_S + 2.0
+    assert profile.valid_until_s == NOW_S + 2.0
     overdue = memory_profile.MemoryProfile([stream], NOW_S + 10.0)
-    assert overdue.fresh_until_s == (
+    assert overdue.valid_until_s == (
         NOW_S + 10.0 + memory_profile.OVERDUE_STEP_S
     )
     assert overdue.first_peak_tokens == 2100
--- a/tests/routing/test_pool_sizing.py
+++ b/tests/routing/test_pool_sizing.py
@@ -54,21 +54,21 @@
 
 
 @pytest.mark.parametrize(
-    ('runners', 'readers'),
+    ('runners', 'prefill_runners'),
     [(0, 0), (1, 0), (2, 1), (3, 1), (4, 1), (6, 2), (11, 3), (24, 7)],
 )
-def test_wanted_readers_of_long_answers(runners, readers):
+def test_wanted_readers_of_long_answers(runners, prefill_runners):
     got = pool_sizing.target_prefill_count(
         runners, builders.ENGINE, LONG_ANSWERS
     )
-    assert got == readers
+    assert got == prefill_runners
 
 
 @pytest.mark.parametrize(
-    ('runners', 'readers'),
+    ('runners', 'prefill_runners'),
     [(1, 0), (2, 0), (3, 1), (5, 2), (7, 3), (9, 3), (45, 16)],
 )
-def test_wanted_readers_of_short_answers(runners, readers):
+def test_wanted_readers_of_short_answers(runners, prefill_runners):
     """Nine runners read prompts of 5,100 tokens and write for 3 s.
 
     With the split that suits long answers, two of nine read and one of
@@ -76,7 +76,7 @@
     refused, while a third of the writers' memory stood empty.
     """
     got = pool_sizing.target_prefill_count(runners, STILL_ENGINE, STILL)
-    assert got == readers
+    assert got == prefill_runners
 
 
 @pytest.mark.parametrize('runners', [64, 200, 360, 1800])
@@ -88,9 +88,9 @@
     plain = pool_sizing.streams_per_s
     tried = []
 
-    def counted(readers, writers, **rest):
-        tried.append(readers)
-        return plain(readers, writers, **rest)
+    def counted(prefill_runners, decode_runners, **rest):
+        tried.append(prefill_runners)
+        return plain(prefill_runners, decode_runners, **rest)
 
     monkeypatch.setattr(pool_sizing, 'streams_per_s', counted)
     got = pool_sizing.target_prefill_count(runners, builders.ENGINE, rates)
@@ -125,7 +125,7 @@
 
 @hypothesis.given(
     runners=st.integers(3, 60),
-    readers=st.integers(0, 60),
+    prefill_runners=st.integers(0, 60),
     slots=st.sampled_from([4, 12, 64]),
     memory_tokens=st.integers(20_000, 400_000),
     prompt_tokens=st.floats(500, 12_000),
@@ -135,7 +135,7 @@
     deviation_tokens=st.floats(0, 2000),
 )
 def test_what_a_fleet_settles_on_is_near_the_best_split(
-    runners, readers, slots, memory_tokens, **rates
+    runners, prefill_runners, slots, memory_tokens, **rates
 ):
     """Whatever is asked and however fast runners are."""
     engine = dataclasses.replace(
@@ -143,7 +143,9 @@
     )
     rates = stage_rates.StageRates(**rates)
     stages = {
-        f'r{n:02}': builders.PREFILL if n < readers else builders.DECODE
+        f'r{n:02}': builders.PREFILL
+        if n < prefill_runners
+        else builders.DECODE
         for n in range(runners)
     }
     stages = settle(stages, engine=engine, rates=rates)
@@ -163,13 +165,13 @@
         )
     )
     assert count < runners
-    if rates.pace_beside_reading < prefill_pause.LEAST_PACE:
+    if rates.pace_beside_prefill < prefill_pause.MIN_PACE:
         assert count
-    assert got * pool_sizing.WORTH_A_CHANGE >= best * 0.999
+    assert got * pool_sizing.MIN_CHANGE_GAIN >= best * 0.999
 
 
-@pytest.mark.parametrize('readers', [0, 1, 2, 3])
-def test_writers_that_read_well_need_no_change(readers):
+@pytest.mark.parametrize('prefill_runners', [0, 1, 2, 3])
+def test_writers_that_read_well_need_no_change(prefill_runners):
     """Two of nine runners are lost, two of them readers.
 
     Writers read what the readers cannot, and let in as many streams. An
@@ -177,7 +179,7 @@
     which one stream in seven was refused.
     """
     stages = {
-        f'r{n}': builders.PREFILL if n < readers else builders.DECODE
+        f'r{n}': builders.PREFILL if n < prefill_runners else builders.DECODE
         for n in range(9)
     }
     assert settle(dict(stages), engine=WIDE, rates=SHORT_ANSWERS) == stages
--- a/tests/routing/test_prefill_pause.py
+++ b/tests/routing/test_prefill_pause.py
@@ -9,8 +9,8 @@
 LIMIT_S = 0.3
 
 
-def is_too_long(read_s, **streams):
-    pause_s = prefill_pause.pause_s(read_s, **streams)
+def is_too_long(prefill_s, **streams):
+    pause_s = prefill_pause.pause_s(prefill_s, **streams)
     return prefill_pause.is_too_long(pause_s, LIMIT_S)
 
 
--- a/tests/routing/test_prefill_queue.py
+++ b/tests/routing/test_prefill_queue.py
@@ -3,10 +3,10 @@
 from limpetroute.routing import reservations
 from tests.routing import builders
 
-READER = builders.make_runner('p', builders.PREFILL)
-DECODER = builders.make_runner('d')
+PREFILL_RUNNER = builders.make_runner('p', builders.PREFILL)
+DECODE_RUNNER = builders.make_runner('d')
 TOKENS_PER_S = 50_000.0
-CACHED_READ_S = 0.007
+CACHED_PREFILL_S = 0.007
 
 
 def make_queue():
@@ -14,14 +14,14 @@
         reserved=reservations.Reservations(engine=builders.ENGINE),
         prompt_size=moving_mean.MovingMean(5000.0),
     )
-    queue.use([READER])
+    queue.set_runners([PREFILL_RUNNER])
     return queue
 
 
-def read(queue, name, took_s, now_s, **fields):
+def prefill(queue, name, took_s, now_s, **fields):
     request = builders.make_request(name, **fields)
-    queue.take(request, READER, DECODER, now_s)
-    queue.done(name, 0, now_s + took_s)
+    queue.add(request, PREFILL_RUNNER, DECODE_RUNNER, now_s)
+    queue.note_prefill_done(name, 0, now_s + took_s)
 
 
 # Guards against a speed learned from prompts that were in the cache, by
@@ -29,31 +29,33 @@
 def test_prompts_in_a_runners_cache_say_nothing_of_its_speed():
     queue = make_queue()
     for n in range(8):
-        read(queue, f'first-{n}', 0.12, n, prompt_id=f'{n}')
+        prefill(queue, f'first-{n}', 0.12, n, prompt_id=f'{n}')
     before = queue.tokens_per_s
     for n in range(8):
-        read(queue, f'again-{n}', CACHED_READ_S, 10 + n, prompt_id=f'{n}')
+        prefill(
+            queue, f'again-{n}', CACHED_PREFILL_S, 10 + n, prompt_id=f'{n}'
+        )
     assert queue.tokens_per_s == before
 
 
 # Guards against the same through a prompt that waits behind such ones.
 def test_a_prompt_behind_cached_ones_says_nothing_either():
     queue = make_queue()
-    read(queue, 'first', 0.12, 0.0, prompt_id='known')
+    prefill(queue, 'first', 0.12, 0.0, prompt_id='known')
     before = queue.tokens_per_s
     again = builders.make_request('again', prompt_id='known')
     behind = builders.make_request('behind', prompt_id='new')
-    queue.take(again, READER, DECODER, 1.0)
-    queue.take(behind, READER, DECODER, 1.0)
-    queue.done('again', 0, 1.0 + CACHED_READ_S)
-    queue.done('behind', 0, 1.12 + CACHED_READ_S)
+    queue.add(again, PREFILL_RUNNER, DECODE_RUNNER, 1.0)
+    queue.add(behind, PREFILL_RUNNER, DECODE_RUNNER, 1.0)
+    queue.note_prefill_done('again', 0, 1.0 + CACHED_PREFILL_S)
+    queue.note_prefill_done('behind', 0, 1.12 + CACHED_PREFILL_S)
     assert queue.tokens_per_s == before
 
 
 def test_a_speed_is_measured_again_once_cached_prompts_are_done():
     queue = make_queue()
-    read(queue, 'first', 0.12, 0.0, prompt_id='known')
-    read(queue, 'again', CACHED_READ_S, 1.0, prompt_id='known')
+    prefill(queue, 'first', 0.12, 0.0, prompt_id='known')
+    prefill(queue, 'again', CACHED_PREFILL_S, 1.0, prompt_id='known')
     before = queue.tokens_per_s
-    read(queue, 'new', 0.5, 2.0, prompt_id='new')
+    prefill(queue, 'new', 0.5, 2.0, prompt_id='new')
     assert queue.tokens_per_s < before
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -25,12 +25,12 @@
         action = rng.random()
         if action < 0.55:
             name = f's{rng.randrange(400)}'
-            place = make_place(name, f'd{rng.randrange(6)}')
+            placed = make_place(name, f'd{rng.randrange(6)}')
             request = builders.make_request(
                 name, patience_s=rng.uniform(0.5, 9.0)
             )
-            reserved.add(place, request, sent_s=now_s, begins_s=now_s)
-            here[name] = (place, now_s + request.patience_s + 1.0)
+            reserved.add(placed, request, sent_s=now_s, begins_s=now_s)
+            here[name] = (placed, now_s + request.patience_s + 1.0)
         elif action < 0.95 and here:
             name = rng.choice(sorted(here))
             reserved.drop(name)
@@ -52,7 +52,7 @@
         assert ends_s == sorted(ends_s)
         for n in range(6):
             count = sum(held[0].decode_id == f'd{n}' for held in here.values())
-            assert reserved.streams(f'd{n}') == count
+            assert reserved.stream_count(f'd{n}') == count
             profile = reserved.profile(f'd{n}', now_s)
             assert len(profile.ends_s) == count
         assert reserved.uses('p') == len(here)
@@ -75,12 +75,12 @@
     usual_s = held.event_s
     for n in range(12):
         request = builders.make_request(f's{n}')
-        place = placement.Placement(
+        placed = placement.Placement(
             request_id=request.request_id, decode_id='slow', prefill_id=''
         )
-        held.add(place, request, sent_s=0.0, begins_s=0.2)
+        held.add(placed, request, sent_s=0.0, begins_s=0.2)
         tokens = 40 * builders.ENGINE.tokens_per_event
-        held.end(
+        held.release(
             placement.Release(
                 request_id=request.request_id,
                 output_tokens=tokens,
