--- a/limpetroute/border/place_bodies.py
+++ b/limpetroute/border/place_bodies.py
@@ -26,7 +26,7 @@
     attempt: int = 0
     avoid: tuple[str, ...] = ()
     pause_target_s: float | None = None
-    silence_s: float = placement.USUAL_SILENCE_S
+    silence_s: float = placement.DEFAULT_SILENCE_S
 
     def ask(self) -> placement.PlacementRequest:
         """Return what it says."""
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -140,7 +140,7 @@
 
     def _note_speed(self) -> None:
         events_s = self._relay.events_s
-        if self._whole and events_s > reservations.LEAST_MEASURED_S:
+        if self._whole and events_s > reservations.MIN_MEASURED_S:
             self._context.note_speed(
                 self._service, self._tokens_written() / events_s
             )
--- a/limpetroute/routing/placement.py
+++ b/limpetroute/routing/placement.py
@@ -5,7 +5,7 @@
 from limpetroute.routing import forecast as forecast_module
 
 # Of a stream whose first event is due within 0.9 s.
-USUAL_SILENCE_S = 3.6
+DEFAULT_SILENCE_S = 3.6
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -71,7 +71,7 @@
     attempt: int = 0
     avoid: tuple[str, ...] = ()
     pause_target_s: float | None = None
-    silence_s: float = USUAL_SILENCE_S
+    silence_s: float = DEFAULT_SILENCE_S
 
     @property
     def prefill_tokens(self) -> int:
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -18,7 +18,7 @@
 from limpetroute.routing import stage_rates
 
 # Ends shorter than this say little of a stream's speed.
-LEAST_MEASURED_S = 0.2
+MIN_MEASURED_S = 0.2
 # Of fewer events, one long pause makes up the mean.
 MIN_EVENTS = 8
 # Memory is planned with the deviation of answers as it was until it has
@@ -175,7 +175,7 @@
             None where the slot was released before; what says so was
             overtaken by the next request under the same id.
         """
-        if end.decode_s > LEAST_MEASURED_S and end.output_tokens:
+        if end.decode_s > MIN_MEASURED_S and end.output_tokens:
             self._speed.note(end.output_tokens / end.decode_s)
         reserved = self._reserved.get(end.request_id)
         if reserved is None or reserved.request.attempt != end.attempt:
@@ -326,7 +326,7 @@
 
     def _note_pace(self, runner_id: str, end: placement.Release) -> None:
         events = end.output_tokens / self._engine.tokens_per_event
-        if events < MIN_EVENTS or end.decode_s < LEAST_MEASURED_S:
+        if events < MIN_EVENTS or end.decode_s < MIN_MEASURED_S:
             return
         samples = self._event_s.get(runner_id)
         if samples is None:
