--- a/limpetroute/routing/__init__.py
+++ b/limpetroute/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Pure parts of forwarding: routes, outcomes, placement, budgets.
+"""Forwarding logic without I/O: routes, outcomes, placement and budgets.
 
-Nothing here opens a socket or reads a clock.
+No module here opens a socket or reads a clock.
 """
--- a/limpetroute/routing/admission.py
+++ b/limpetroute/routing/admission.py
@@ -1,17 +1,17 @@
-"""Tells callers that are turned away when to come back."""
+"""Decides when the callers of rejected streams should retry."""
 
 from limpetroute.routing import placement
 from limpetroute.routing import retry_after
 from limpetroute.routing import retry_tracker
 from limpetroute.routing import waiting_stream
 
-# Where a smaller part than this of those who come back gets a place, callers
-# are told to stay away until their deadline.
+# If a smaller share of the returning callers is placed, Retry-After covers the
+# caller's whole remaining deadline.
 MIN_SERVED_SHARE = 0.25
 
 
 class Admission:
-    """Tells callers that are turned away when to come back."""
+    """Decides when the callers of rejected streams should retry."""
 
     def __init__(self) -> None:
         self._retries = retry_tracker.RetryTracker()
@@ -23,7 +23,7 @@
     def first_sent_s(
         self, request: placement.PlacementRequest, sent_s: float, now_s: float
     ) -> float:
-        """Return when a stream's caller asked for the first time."""
+        """Return when the caller sent this prompt for the first time."""
         first_s = self._retries.first_sent_s(request, sent_s, now_s)
         if first_s == sent_s and not request.goes_on:
             self._retry_after.note_arrival(now_s)
@@ -32,11 +32,11 @@
     def note_served(
         self, request: placement.PlacementRequest, now_s: float
     ) -> None:
-        """Forget a stream that got a place."""
+        """Record that a stream was placed."""
         self._retries.note_served(request, now_s)
 
     def note_release(self, now_s: float) -> None:
-        """Count a place that became free."""
+        """Count a slot that became free."""
         self._retry_after.note_release(now_s)
 
     def reject(
@@ -45,23 +45,24 @@
         slot_free_s: float,
         now_s: float,
     ) -> placement.Rejection:
-        """Turn a stream away.
+        """Return the rejection of a stream, with the time to retry after.
 
         Parameters
         ----------
         stream : WaitingStream
-            The stream.
-        place_s : float
-            When the next place becomes free that nobody waits for.
+            The rejected stream.
+        slot_free_s : float
+            When the first slot that no waiting stream will take becomes free.
         now_s : float
-            A steady clock.
+            Monotonic time in seconds.
         """
         request = stream.request
         self._retries.note_refused(request, stream.first_sent_s, now_s)
         remaining_s = request.patience_s - (now_s - stream.sent_s)
         served_share = self._retries.served_share(now_s)
         if served_share is not None and served_share < MIN_SERVED_SHARE:
-            # Told less, most would come back for a second refusal.
+            # With a shorter delay, most callers would return only to be
+            # rejected a second time.
             return placement.Rejection(
                 request_id=request.request_id,
                 retry_after_s=max(retry_after.MIN_RETRY_AFTER_S, remaining_s),
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -1,4 +1,4 @@
-"""Which decode runner a stream is placed at."""
+"""Chooses the decode runner of a stream."""
 
 import typing
 
@@ -11,30 +11,30 @@
 from limpetroute.routing import runner_limits
 from limpetroute.routing import service as service_module
 
-# Part of the memory by which a runner of the caller's zone may be fuller
-# than another one and still be taken: an answer that crosses zones costs
-# more than an even spread gains.
+# Share of a runner's memory by which a runner in the caller's zone may be
+# fuller than another one and still be chosen: sending an answer across zones
+# costs more than an even load gains.
 SAME_ZONE_BONUS = 0.08
-# Runners that are looked at to tell whether there is room for a stream:
-# where those with most free memory have none, others hardly do.
+# Number of runners that are checked for free capacity. If the runners with the
+# most free memory cannot take a stream, the others hardly can.
 MAX_PROBED_RUNNERS = 4
 
 
 class DecodePlacement:
-    """Which decode runner a stream is placed at.
+    """Chooses the decode runner of a stream.
 
     Parameters
     ----------
     engine : Engine
-        Slots and memory of the runners.
+        Slots and memory of each runner.
     reserved : Reservations
-        The slots that are reserved.
+        The reserved slots.
     outliers : OutlierDetector
-        Slots that hosts out of reach have taken.
+        Slots taken by hosts that cannot reach the leader.
     fleet : Fleet
         The runners that may be used.
     limits : RunnerLimits
-        Requests a second that runners take.
+        Request rates that the runners accept.
     """
 
     def __init__(
@@ -59,10 +59,10 @@
     def best(
         self, request: placement.PlacementRequest, ready_s: float, now_s: float
     ) -> runner_info.RunnerInfo | None:
-        """Return the decode runner with most memory left, if one has room.
+        """Return the decode runner with the most memory left, or None.
 
-        Runners are looked at from the one with most free memory on, until
-        none that follows can be better; those of the caller's zone first.
+        Runners are checked in descending order of free memory, those in the
+        caller's zone first, until no later runner can rank higher.
         """
         decoders = self._fleet.decode_runners
         forecast = self._reservations.forecast_memory(request, ready_s)
@@ -95,9 +95,9 @@
         ready_s: float,
         now_s: float,
     ) -> runner_info.RunnerInfo | None:
-        """Return the best of some decode runners, if one has room.
+        """Return the best of the given decode runners, or None if none fits.
 
-        They come in the order of their free memory, most first.
+        The runners must be in descending order of free memory.
         """
         forecast = None
         best = None
@@ -116,7 +116,7 @@
     def has_free_runner(
         self, request: placement.PlacementRequest, now_s: float
     ) -> bool:
-        """Return whether a decode runner has room for a stream now."""
+        """Return whether some decode runner can take a stream now."""
         forecast = self._reservations.forecast_memory(request, now_s)
         checks = 0
         for free, runner in self._fleet.decode_runners.by_free_memory():
@@ -133,7 +133,7 @@
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> bool:
-        """Return whether one decode runner has room for a stream now."""
+        """Return whether one decode runner can take a stream now."""
         forecast = self._reservations.forecast_memory(request, now_s)
         return self._rank(request, forecast, runner, now_s) is not None
 
@@ -144,7 +144,11 @@
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> float | None:
-        """Return the memory left at a runner, or None without room."""
+        """Return a runner's rank for a stream, or None if it does not fit.
+
+        The rank is the memory in tokens that stays free at the peak, plus a
+        bonus for runners in the caller's zone.
+        """
         if runner.runner_id in request.avoid:
             return None
         taken = self._reservations.stream_count(runner.runner_id)
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -1,4 +1,4 @@
-"""The runners of a service that may be given work now."""
+"""Tracks which runners of a service may be given streams."""
 
 import typing
 
@@ -11,16 +11,16 @@
 
 
 class Fleet:
-    """The runners of a service that may be given work now.
+    """Tracks which runners of a service may be given streams.
 
     Parameters
     ----------
     reserved : Reservations
-        The slots that are reserved.
+        The reserved slots.
     outliers : OutlierDetector
-        Which runners are ejected.
+        Tells which runners are ejected.
     limits : RunnerLimits
-        Requests a second that runners take.
+        Request rates that the runners accept.
     """
 
     def __init__(
@@ -55,13 +55,14 @@
         changing: typing.Collection[str],
         now_s: float,
     ) -> bool:
-        """Take note of the runners; return whether others may be used now.
+        """Update the runners and return whether the usable ones changed.
 
-        ``changing`` are runners that were told to change their stage: for
-        some seconds they refuse all, and are announced as they were.
+        ``changing`` are runners that were ordered to change their stage. For
+        some seconds they refuse all requests but are still announced with
+        their old stage.
         """
         known = list(runners)
-        # Unchanged runners are the same objects, which compare at once.
+        # Unchanged runners are the same objects, so this comparison is cheap.
         is_new = known != self._known or set(changing) != self._changing
         if is_new:
             self._known = known
@@ -86,7 +87,7 @@
         return True
 
     def update(self, now_s: float) -> None:
-        """Take note of what runners have free whose streams changed."""
+        """Update the free memory of runners whose streams changed."""
         for runner_id in self._reservations.take_changed():
             if runner_id in self.decode_runners:
                 self.decode_runners.put(
@@ -97,7 +98,7 @@
     def by_free_memory(
         self, runner_ids: typing.Iterable[str]
     ) -> list[runner_info.RunnerInfo]:
-        """Return some decode runners that may be used, most free first."""
+        """Return the given decode runners that are usable, most free first."""
         known = [one for one in runner_ids if one in self.decode_runners]
         known.sort(
             key=lambda one: (-self.decode_runners.free_tokens(one), one)
@@ -124,12 +125,13 @@
             self.decode_runners.put(ready[runner_id], free)
 
     def _find_unusable(self, now_s: float) -> tuple[set[str], set[str]]:
-        """Return the decode and the prefill runners that get no work.
+        """Return the decode and the prefill runners that get no streams.
 
-        With none left of a stage, the ones that failed are better than
-        nothing: the failure may have been one connection's. Only prompts
-        need no prefill runner; one that is gone and still registered
-        would be given every prompt for want of another.
+        If all runners of a stage are ejected, they are used all the same: the
+        failure may have been that of a single connection. Prefill runners that
+        seem gone are the exception while there are decode runners, because
+        these can prefill prompts themselves; a prefill runner that is gone but
+        still registered would otherwise be given every prompt.
         """
         decode_runners = self._ready.get(stage_module.Stage.DECODE, {})
         prefill_runners = self._ready.get(stage_module.Stage.PREFILL, {})
--- a/limpetroute/routing/forecast.py
+++ b/limpetroute/routing/forecast.py
@@ -1,26 +1,27 @@
-"""What was expected of a stream when it was placed."""
+"""The scheduler's forecast for a stream at the time of its placement."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Forecast:
-    """What was expected of a stream when it was placed.
+    """The scheduler's forecast for a stream at the time of its placement.
 
     Parameters
     ----------
     queued_s : float
-        How long it waited for its placement.
+        Time that the stream waited for its placement.
     first_event_s : float
-        Time from its caller's request, or last event, to the next event.
+        Expected time from the caller's request, or its last event, to the next
+        event.
     in_time : bool
-        Whether that meets its target.
+        Whether `first_event_s` meets the stream's target.
     beside : int
-        Streams that its decode runner had.
+        Number of other streams on its decode runner.
     pause_s : float
-        How long these pause while the runner reads its prompt.
+        Longest gap between events that its prefill causes for these streams.
     read_tokens_per_s : float
-        How fast its prompt is read.
+        Expected prefill speed in tokens per second.
     """
 
     queued_s: float
--- a/limpetroute/routing/length_estimate.py
+++ b/limpetroute/routing/length_estimate.py
@@ -1,26 +1,26 @@
-"""How long answers become, learned from those that ended."""
+"""Estimates the length of answers from those that have ended."""
 
 import math
 
-# Callers' estimates are right at the median and often far off. Where they
-# are off by as much as lengths differ, half of what an estimate says
-# beyond the usual is true, until the slope has been measured.
+# Callers' estimates are right at the median and often far off. If their error
+# is as large as the spread of the lengths, half of an estimate's distance from
+# the mean is true; this is assumed until the slope has been measured.
 PRIOR_SLOPE = 0.5
-# Answers that the first slope counts for.
+# Number of answers that the prior slope counts for.
 PRIOR_WEIGHT = 30.0
-# Later answers push earlier ones out; half of the weight is from the
-# last 140.
+# Weight of earlier answers after each new one; the last 140 answers make up
+# half of the total weight.
 DECAY = 0.995
 
 
 class LengthEstimate:
     """Corrects callers' estimates of the length of their answers.
 
-    Taken as they are, estimates that are off by half preempt streams:
-    the memory of a decode runner is planned to the end of each stream,
-    and what outgrows its plan pushes the newest one out, whose prompt is
-    read again. A line through the logarithms of estimates and lengths
-    corrects them.
+    The memory of a decode runner is planned to the end of each stream. If
+    estimates were used as they are and were off by half, streams would outgrow
+    the plan and the newest one would be preempted, whose prompt is then
+    prefilled again. A linear regression of the logarithms of lengths on those
+    of the estimates corrects them.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         )
 
     def learn(self, *, estimated_tokens: int, actual_tokens: int) -> None:
-        """Take note of an answer that came to its own end."""
+        """Record the length of an answer that ended by itself."""
         if estimated_tokens < 1 or actual_tokens < 1:
             return
         estimated = math.log(estimated_tokens)
@@ -51,14 +51,15 @@
         self._sum_product = self._sum_product * DECAY + estimated * actual
 
     def tokens(self, *, estimated_tokens: int, most_tokens: int) -> int:
-        """Return how long an answer is expected to become."""
+        """Return the expected length of an answer in tokens."""
         if estimated_tokens < 1 or not self._weight:
             return estimated_tokens
         estimated = math.log(estimated_tokens)
         mean_estimated = self._sum_estimated / self._weight
         mean_actual = self._sum_actual / self._weight
-        # With few answers, their mean says little: no correction before
-        # the first, all of it after some thirty.
+        # The mean of few answers is unreliable: there is no correction before
+        # the first answer, half of it after 30, and nearly all of it after
+        # many more.
         trust = self._weight / (self._weight + PRIOR_WEIGHT)
         learned = mean_actual + self._slope() * (estimated - mean_estimated)
         expected = estimated + trust * (learned - estimated)
@@ -76,7 +77,8 @@
         covariance = (
             self._sum_product / self._weight - mean_estimated * mean_actual
         )
-        # The first slope stands for answers spread as usual (0.5).
+        # Variance of the log lengths that the prior slope is based on, which
+        # is that of a standard deviation of 0.5.
         prior_variance = 0.25
         weight = PRIOR_WEIGHT / self._weight
         return (covariance + weight * prior_variance * PRIOR_SLOPE) / (
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -1,4 +1,4 @@
-"""Where a stream's prompt is read and where its answer is written."""
+"""Places streams on a host that cannot reach the leader."""
 
 import random
 import typing
@@ -9,21 +9,22 @@
 from limpetroute.routing import runner_load
 from limpetroute.routing import service as service_module
 
-# A host that decides alone knows no measured pauses: up to this length,
-# a prompt holds streams of the longest events up for less than 300 ms.
+# A host that places streams by itself has no measured gaps between events. Up
+# to this length, a prompt delays streams with the longest events by less than
+# 300 ms.
 MAX_SELF_PREFILL_TOKENS = 5500
 
 
 def may_self_prefill_locally(
     request: placement.PlacementRequest, *, entry_hosts: int
 ) -> bool:
-    """Return whether a host may have a decode runner read this prompt.
+    """Return whether a host may have a decode runner prefill this prompt.
 
-    Pattern: a leader and the last prefill runner are lost together. A
-    host that decides alone does not see the other hosts' streams at the
-    decode runner, and a long prompt holds all of them up. A leader is
-    there within about a second, and knows whether the runner has little
-    to do.
+    Pattern: the leader and the last prefill runner are lost together. A host
+    that places streams by itself does not see the streams of other hosts on a
+    decode runner, and prefilling a long prompt there delays all of them. A new
+    leader is elected within about a second, and its scheduler can tell whether
+    the runner has few streams.
     """
     if entry_hosts <= 1:
         return True
@@ -41,28 +42,29 @@
     now_s: float,
     rng: random.Random,
 ) -> runner_info.RunnerInfo | None:
-    """Return the decode runner with most free memory that has room.
+    """Return the decode runner with the most free memory that has capacity.
 
-    Memory binds before places do: an answer that outgrows it preempts
-    the newest, which pauses for the time of a whole prefill.
+    Memory limits a runner before its slots do: if an answer outgrows the
+    memory, the newest stream is preempted and pauses for a whole prefill.
 
     Parameters
     ----------
     runners : iterable of RunnerInfo
         Runners of the service.
     engine : Engine
-        Their places and memory.
+        Slots and memory of each runner.
     loads : mapping of str to RunnerLoad
-        What is known of each, by identity.
+        Load and health of each runner as seen by this host, by identity.
     tokens : int
-        Most tokens that the request takes.
-    part : float
-        Part of a runner that this host may use, as it sees only its
-        own requests; at least one request of any size.
+        Maximum number of tokens that the request takes.
+    share : float
+        Share of each runner that this host may use, because it sees only its
+        own requests. A request of any size is accepted by a runner that has
+        none.
     tried : collection of str
-        Runners that it was sent to.
+        Runners that the request was already sent to.
     now_s : float
-        A steady clock.
+        Monotonic time in seconds.
     rng : random.Random
         Breaks ties.
     """
@@ -94,7 +96,7 @@
     now_s: float,
     rng: random.Random,
 ) -> runner_info.RunnerInfo | None:
-    """Return the prefill runner with fewest tokens to read, if any."""
+    """Return the prefill runner with the fewest tokens to prefill, or None."""
     best = None
     best_rank: tuple[int, float] | None = None
     for one in runners:
--- a/limpetroute/routing/memory_forecast.py
+++ b/limpetroute/routing/memory_forecast.py
@@ -1,4 +1,4 @@
-"""Whether another stream fits a decode runner until its end."""
+"""Forecasts the KV memory that streams take until they end."""
 
 import dataclasses
 import typing
@@ -6,20 +6,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MemoryForecast:
-    """How a stream's KV memory grows.
+    """Forecast of one stream's KV memory.
 
     Parameters
     ----------
     prompt_tokens : int
-        Taken from the beginning.
+        Tokens of the prompt, which take memory from the start.
     output_tokens : int
-        Added one by one, as far as is expected.
+        Expected number of output tokens, which are added one by one.
     most_output_tokens : int
-        Tokens that it may become.
+        Upper limit of the output tokens.
     begins_s : float
-        When its first token is expected.
+        When the first token is expected.
     tokens_per_s : float
-        How fast it writes.
+        Decode speed in tokens per second.
     """
 
     prompt_tokens: int
@@ -29,10 +29,10 @@
     tokens_per_s: float
 
     def ends_s(self, now_s: float) -> float:
-        """Return when its last token is expected.
+        """Return when the last token is expected.
 
-        One that has gone beyond its estimate is taken to be half way
-        through what it may still write.
+        A stream that has exceeded its expected length is assumed to be half
+        way through the tokens that it may still write.
         """
         written = self._written_at(now_s)
         output: float = self.output_tokens
@@ -41,7 +41,7 @@
         return self.begins_s + output / self.tokens_per_s
 
     def tokens_at(self, at_s: float) -> float:
-        """Return the memory it takes at a time, if it still runs."""
+        """Return the memory in tokens at a time, if the stream still runs."""
         return self.prompt_tokens + self._written_at(at_s)
 
     def _written_at(self, at_s: float) -> float:
@@ -52,13 +52,13 @@
 def peak_tokens(
     streams: typing.Sequence[MemoryForecast], now_s: float
 ) -> float:
-    """Return the most memory that streams will take together.
+    """Return the peak of the memory that streams take together.
 
-    The sum of their largest sizes would leave a quarter of the memory
-    unused, as they are not at their largest at the same time; the sum
-    of their present sizes would have the newest one preempted later, in
-    the middle of its answer. The sum grows until one of them ends, so
-    only the ends have to be looked at.
+    The sum of their largest sizes would leave a quarter of the memory unused,
+    because streams do not reach their largest size at the same time. With the
+    sum of their present sizes, the newest stream would be preempted later, in
+    the middle of its answer. The total grows until a stream ends, so only the
+    end times have to be evaluated.
     """
     most = sum(one.tokens_at(now_s) for one in streams)
     ends_s = [one.ends_s(now_s) for one in streams]
--- a/limpetroute/routing/memory_headroom.py
+++ b/limpetroute/routing/memory_headroom.py
@@ -1,12 +1,12 @@
-"""How much of a writer's memory is kept for answers that grow longer."""
+"""Reserves memory of decode runners for answers that exceed estimates."""
 
 import math
 
-# Deviations of the sum of a writer's answers that are kept free: one sum in
-# forty outgrows that. An overflow costs a prompt read again, and the
-# targets of two streams.
+# Standard deviations of the sum of a runner's answers that are kept free; one
+# sum in forty exceeds that. An overflow costs another prefill of a prompt and
+# makes two streams miss their targets.
 DEVIATIONS = 2.0
-# Blocks of memory that are not full, and what is read beside.
+# Covers partly filled memory blocks and prompts that are being prefilled.
 MIN_RESERVED_SHARE = 0.03
 MAX_RESERVED_SHARE = 0.2
 
@@ -14,23 +14,23 @@
 def usable_tokens(
     memory_tokens: int, streams: int, deviation_tokens: float
 ) -> float:
-    """Return the memory that may be planned for.
+    """Return the part of a runner's memory that may be planned for.
 
-    Pattern: answers grow beyond what was expected of them. By how much
-    together depends on their number and on how far estimates are off,
-    which differs from service to service: of 135,000 tokens a tenth,
-    where answers are as long as prompts; of 52,000 a fiftieth, where they
-    are a tenth of them. A fixed tenth left room for every thirteenth
-    stream unused there.
+    Pattern: answers grow beyond their estimates. Their total excess depends on
+    their number and on the error of the estimates, which differs from service
+    to service: it is a tenth of 135,000 tokens if answers are as long as
+    prompts, and a fiftieth of 52,000 if they are a tenth as long. There, a
+    fixed reserve of a tenth would leave the memory of every thirteenth stream
+    unused.
 
     Parameters
     ----------
     memory_tokens : int
-        All memory of a writer.
+        Memory of the decode runner.
     streams : int
-        Streams that it has.
+        Number of its streams.
     deviation_tokens : float
-        Mean deviation of one answer from what was expected.
+        Standard deviation of an answer from its estimate.
     """
     reserved = DEVIATIONS * math.sqrt(streams) * deviation_tokens
     share = min(
--- a/limpetroute/routing/memory_profile.py
+++ b/limpetroute/routing/memory_profile.py
@@ -1,27 +1,27 @@
-"""The memory that a decode runner's streams take until each one ends."""
+"""Computes the memory of a decode runner's streams at each stream's end."""
 
 import bisect
 import typing
 
 from limpetroute.routing import memory_forecast
 
-# A stream that outlasts its estimate has its end moved on bit by bit. The
-# profile follows in steps of this length.
+# The expected end of a stream that exceeds its estimate keeps moving. The
+# profile is recomputed at this interval to follow it.
 OVERDUE_STEP_S = 0.05
 
 
 class MemoryProfile:
-    """The memory that a decode runner's streams take until each one ends.
+    """The memory of a decode runner's streams at each stream's expected end.
 
-    Worked out once for each change at a runner, so that asking whether
-    another stream fits takes one look at each of its streams.
+    It is computed once for each change at a runner, so that checking whether
+    another stream fits takes a single pass over the runner's streams.
 
     Parameters
     ----------
     streams : iterable of MemoryForecast
         The streams of one runner.
     now_s : float
-        A steady clock.
+        Monotonic time in seconds.
     """
 
     def __init__(
@@ -51,11 +51,12 @@
     def peak_with(
         self, stream: memory_forecast.MemoryForecast, now_s: float
     ) -> float:
-        """Return the most memory that is taken with another stream.
+        """Return the peak memory if another stream is added.
 
-        Memory grows until a stream ends, so only the ends are looked at.
-        Lengths are estimates: no plan rests on the newcomer ending before
-        all others.
+        Memory grows until a stream ends, so only the end times are evaluated.
+        Lengths are estimates, so the peak includes at least the prompt of the
+        new stream at the first end of the others, even if the new stream is
+        expected to end before that.
         """
         end_s = max(now_s, stream.ends_s(now_s))
         most = max(
@@ -79,11 +80,11 @@
     def _totals_at_ends(self, now_s: float) -> list[float]:
         """Return the memory that is taken at each end.
 
-        Each stream takes its prompt from now on, and grows evenly from
-        its beginning on.
+        A stream takes the memory of its prompt from now on, and grows at a
+        constant rate from its first token on.
         """
-        # A stream that has written all it may is there until it is known
-        # to have ended.
+        # A stream that has written its maximum length counts until its end is
+        # reported.
         done = bisect.bisect_right(self.ends_s, now_s)
         sizes = [one.tokens_at(now_s) for one in self._streams[:done]]
         sizes += [one.prompt_tokens for one in self._streams[done:]]
@@ -91,8 +92,8 @@
         begins = sorted(
             self._streams[done:], key=lambda one: one.begins_s, reverse=True
         )
-        # What growing streams have written at a time is
-        # `per_s * time - offset`.
+        # The growing streams have written `per_s * time - offset` tokens at a
+        # time.
         per_s = 0.0
         offset = 0.0
         totals = []
--- a/limpetroute/routing/placement.py
+++ b/limpetroute/routing/placement.py
@@ -1,57 +1,58 @@
-"""A stream that asks for a place, and what it gets."""
+"""Requests for placements of streams, and their results."""
 
 import dataclasses
 
 from limpetroute.routing import forecast as forecast_module
 
-# Of a stream whose first event is due within 0.9 s.
+# Fits streams whose first event is due within 0.9 s.
 DEFAULT_SILENCE_S = 3.6
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PlacementRequest:
-    """A stream that asks for places at runners.
+    """A request to place a stream on runners.
 
     Parameters
     ----------
     request_id : str
-        Names the stream.
+        Identifies the stream.
     service : str
-        Its service.
+        Name of its service.
     prompt_tokens : int
-        Tokens to read.
+        Length of the prompt.
     output_tokens : int
-        Tokens that it is expected to write.
+        Expected length of the answer.
     most_output_tokens : int
-        Tokens that it may write.
+        Upper limit of the answer's length.
     waited_s : float
-        Time since the caller sent it, or got its last event.
+        Time since the caller sent the request or received its last event.
     target_s : float
-        Time from then within which its first event is good.
+        Time from then within which the first event meets the target.
     patience_s : float
-        Time from then after which the caller leaves.
+        Time from then after which the caller disconnects.
     goes_on : bool
-        Whether a part of its answer is with its caller already.
+        Whether the caller already has a part of the answer, so that the stream
+        is resumed.
     written_tokens : int
-        Tokens of its answer that are with its caller; a runner that goes
-        on with it reads them like a part of the prompt.
+        Tokens of the answer that the caller already has. The runner that
+        resumes the stream prefills them together with the prompt.
     reads_prompt : bool
-        Whether a prefill runner may read its prompt.
+        Whether a prefill runner may prefill the prompt.
     may_repeat : bool
-        Whether it may go to another runner if this one fails.
+        Whether the request may be sent to another runner if this one fails.
     zone : str
-        Zone of its entry host; empty if unknown.
+        Zone of the entry host; empty if unknown.
     prompt_id : str
-        Names its prompt; the same when its caller asks again. Empty if
-        unknown.
+        Identifies the prompt, also when the caller retries. Empty if unknown.
     attempt : int
-        Tells apart the places that are asked for under one id.
+        Distinguishes the placements that are requested under one id.
     avoid : tuple of str
-        Decode runners that it must not go to.
+        Decode runners that must not be chosen.
     pause_target_s : float or None
-        Longest time between two events that is good, if its route says.
+        Longest gap between two events that meets the target, if the route sets
+        one.
     silence_s : float
-        Time without an event after which its caller leaves.
+        Time without an event after which the caller disconnects.
     """
 
     request_id: str
@@ -75,24 +76,25 @@
 
     @property
     def prefill_tokens(self) -> int:
-        """Tokens that a runner reads before it writes."""
+        """Tokens that a runner prefills before it writes output."""
         return self.prompt_tokens + self.written_tokens
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Placement:
-    """Room at a decode runner, and who reads the prompt.
+    """A reserved slot on a decode runner, and the runner for the prefill.
 
     Parameters
     ----------
     request_id : str
-        Whose place it is.
+        Stream that is placed.
     decode_id : str
         The decode runner.
     prefill_id : str
-        The prefill runner; empty if the decode runner reads itself.
+        The prefill runner; empty if the decode runner prefills the prompt.
     forecast : Forecast or None
-        What is expected; None where nobody decided for all hosts.
+        Forecast of the scheduler; None if an entry host placed the stream
+        without the leader.
     """
 
     request_id: str
@@ -103,16 +105,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Rejection:
-    """There is no place in time.
+    """The answer if no placement is possible in time.
 
     Parameters
     ----------
     request_id : str
-        Who is refused.
+        Stream that is rejected.
     retry_after_s : float
-        When there should be room.
+        Time after which a retry should succeed.
     reason : str
-        For the log.
+        Text for the log.
     """
 
     request_id: str
@@ -122,24 +124,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Release:
-    """A stream gives its place back.
+    """The end of a stream, which releases its placement.
 
     Parameters
     ----------
     request_id : str
-        Whose place it was.
+        Stream that ended.
     attempt : int
-        The attempt it was given for.
+        Attempt that the placement belongs to.
     output_tokens : int
-        Tokens that were written, as far as known; 0 if none.
+        Number of tokens written, as far as known; 0 if none.
     decode_s : float
         Time from the first event to the last.
     failed : tuple of str
-        Runners that did not answer as they should.
+        Runners that failed to answer properly.
     full : tuple of str
-        Runners that refused for want of room.
+        Runners that refused the stream for lack of capacity.
     whole : bool
-        Whether the answer came to its own end.
+        Whether the answer ended by itself.
     """
 
     request_id: str
--- a/limpetroute/routing/prefill_history.py
+++ b/limpetroute/routing/prefill_history.py
@@ -1,18 +1,18 @@
-"""Which prompts runners have read lately."""
+"""Records which prompts runners have prefilled recently."""
 
 import collections
 
 from limpetroute.routing import placement
 
-# Bounds the memory; far more prompts than runners keep in their caches.
+# Limits memory use. Runners keep far fewer prompts in their caches.
 MAX_ENTRIES = 10_000
 
 
 class PrefillHistory:
-    """Which prompts runners have read lately.
+    """Records which prompts runners have prefilled recently.
 
-    A prompt that a runner reads again is mostly in its cache, and takes
-    a hundredth of the time.
+    A prompt that a runner prefills again is mostly in its prefix cache, and
+    takes a hundredth of the time.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
     def note(
         self, runner_id: str, request: placement.PlacementRequest
     ) -> bool:
-        """Take note of a prompt; return whether it was read there before."""
+        """Record a prompt; return whether the runner had prefilled it before."""
         if not request.prompt_id:
             return False
         key = (runner_id, f'{request.prompt_id} {request.prompt_tokens}')
@@ -38,6 +38,6 @@
         return was_known
 
     def reset_runner(self, runner_id: str) -> None:
-        """Forget what a runner has read; it has started again."""
+        """Drop the entries of a runner that has restarted."""
         for key in [one for one in self._known if one[0] == runner_id]:
             del self._known[key]
--- a/limpetroute/routing/prefill_pause.py
+++ b/limpetroute/routing/prefill_pause.py
@@ -1,58 +1,59 @@
-"""How long a decode runner's streams pause while it reads a prompt."""
+"""Estimates how long streams pause while their runner prefills a prompt."""
 
-# Between two steps of its streams, a decode runner reads a piece of the
-# prompt for this long (a quarter of the usual piece, at half the speed).
+# Time that a decode runner spends on a chunk of the prompt between two decode
+# steps (a quarter of the usual chunk, at half the speed).
 CHUNK_S = 0.01
-# Streams that go on at less than this part of their speed beside a reading
-# pause for longer than their events may: an event of 50 ms then takes a
-# quarter of a second, and some do without a reading.
+# Streams that decode at less than this share of their speed during a prefill
+# exceed the longest gap between their events: an event of 50 ms then takes a
+# quarter of a second, and some events take that long without a prefill.
 MIN_PACE = 0.2
-# Part of the longest good pause that is planned for: pauses differ by a
-# twentieth from one prompt to the next.
+# Share of the longest allowed gap that is planned for, because gaps differ by
+# a twentieth from one prompt to the next.
 PLANNED_SHARE = 0.95
 
 
 def pace(tokens_per_s: float) -> float:
-    """Return how fast streams go on beside a reading.
+    """Return the decode speed during a prefill as a share of the usual one.
 
-    Between two pieces of the prompt, the runner makes one token for each
-    of its streams. Where a token takes six milliseconds, they go on at a
-    third of their speed; where it takes less than one, they all but stand
-    still. Not learned from pauses: most long ones have other causes, and
-    after a fault they kept all prompts away from a lone runner.
+    Between two chunks of the prompt, the runner makes one token for each of
+    its streams. If a token takes six milliseconds, streams decode at a third
+    of their speed; if it takes less than one, they almost stop. The pace is
+    not learned from measured gaps, because most long gaps have other causes;
+    after a fault, a learned pace kept all prompts away from the only runner
+    left.
 
     Parameters
     ----------
     tokens_per_s : float
-        How fast a stream is written, as measured.
+        Measured decode speed of a stream.
     """
     step_s = 1 / tokens_per_s
     return step_s / (step_s + CHUNK_S)
 
 
 def is_pace_sufficient(pace_beside: float) -> bool:
-    """Return whether streams go on while their runner reads a prompt."""
+    """Return whether streams progress while their runner prefills a prompt."""
     return pace_beside >= MIN_PACE
 
 
 def pause_s(prefill_s: float, *, event_s: float, pace_beside: float) -> float:
-    """Return the longest time between two events beside a reading.
+    """Return the longest gap between two events during a prefill.
 
-    An event that has seventy tokens waits until the whole prompt is read;
-    one that has eight comes after eight pieces of it.
+    An event of seventy tokens is delayed until the whole prompt is prefilled;
+    an event of eight tokens needs only eight chunks of it.
 
     Parameters
     ----------
-    read_s : float
-        How long the reading takes.
+    prefill_s : float
+        Duration of the prefill.
     event_s : float
-        The usual time between two events.
+        Usual time between two events.
     pace_beside : float
-        How fast streams go on, as a part of their usual speed.
+        Decode speed during the prefill as a share of the usual one.
     """
     return min(event_s / pace_beside, event_s + prefill_s * (1 - pace_beside))
 
 
 def is_too_long(pause_s: float, limit_s: float) -> bool:
-    """Return whether a planned pause may exceed the longest good one."""
+    """Return whether a planned gap may exceed the longest allowed one."""
     return pause_s > limit_s * PLANNED_SHARE
--- a/limpetroute/routing/recent_samples.py
+++ b/limpetroute/routing/recent_samples.py
@@ -1,20 +1,20 @@
-"""What was measured of late, with a first guess for what is missing."""
+"""Quantiles of recent samples, with an initial guess."""
 
 import collections
 
-# Samples that are looked back on, and how many of them the first guess
-# stands for: a few first ones may all be of one odd moment.
+# Number of samples kept, and number of them that the initial guess counts for:
+# the first few samples may all be taken under unusual conditions.
 SAMPLES = 16
 GUESS_WEIGHT = 4
 
 
 class RecentSamples:
-    """What was measured of late, with a first guess for what is missing.
+    """Quantiles of recent samples, with an initial guess.
 
     Parameters
     ----------
     guess : float
-        Stands for the samples that have not come yet.
+        Used in place of samples that are still missing.
     """
 
     def __init__(self, guess: float) -> None:
@@ -27,11 +27,11 @@
         return f'{type(self).__name__}(samples={list(self._samples)!r})'
 
     def note(self, value: float) -> None:
-        """Take note of a sample."""
+        """Add a sample."""
         self._samples.append(value)
         self._ordered = sorted(self._samples)
 
     def quantile(self, fraction: float) -> float:
-        """Return the sample that this part of them does not exceed."""
+        """Return the value that this fraction of the samples does not exceed."""
         count = len(self._ordered)
         return self._ordered[min(count - 1, int(count * fraction))]
