--- a/limpetroute/routing/capacity_probe.py
+++ b/limpetroute/routing/capacity_probe.py
@@ -1,4 +1,4 @@
-"""Whether waiting streams have room, asked for many at one moment."""
+"""Checks whether decode runners have free capacity for waiting streams."""
 
 import math
 
@@ -7,17 +7,18 @@
 
 
 class CapacityProbe:
-    """Whether waiting streams have room, asked for many at one moment.
+    """Checks free capacity for many waiting streams at one point in time.
 
-    A stream with a shorter prompt than one that fits is taken to fit, and
-    one with a longer prompt than one that does not fit is not.
+    Results are reused: a stream whose prompt is no longer than one that fits
+    is assumed to fit, and one whose prompt is no shorter than one that does
+    not fit is assumed not to fit.
 
     Parameters
     ----------
     decode_placement : DecodePlacement
-        Looks at the runners.
+        Checks the runners.
     now_s : float
-        The moment.
+        Monotonic time in seconds.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         )
 
     def has_free_runner(self, request: placement.PlacementRequest) -> bool:
-        """Return whether a decode runner has room for a stream."""
+        """Return whether a decode runner has free capacity for a stream."""
         tokens = request.prefill_tokens
         if request.avoid:
             return self._decode_placement.has_free_runner(request, self._now_s)
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -158,12 +158,12 @@
         if not self._limits.has_token(runner.runner_id, now_s):
             return None
         self.fit_checks += 1
-        room = self._reservations.usable_tokens(taken + 1)
+        usable = self._reservations.usable_tokens(taken + 1)
         profile = self._reservations.profile(runner.runner_id, now_s)
         peak = profile.peak_with(forecast, now_s)
-        if peak > room:
+        if peak > usable:
             return None
-        rank = room - peak
+        rank = usable - peak
         if runner.zone == request.zone:
-            rank += room * SAME_ZONE_BONUS
+            rank += usable * SAME_ZONE_BONUS
         return rank
--- a/limpetroute/routing/free_memory_index.py
+++ b/limpetroute/routing/free_memory_index.py
@@ -1,4 +1,4 @@
-"""The decode runners that may be used, those with most free memory first."""
+"""Index of the usable decode runners by free memory."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
 
 class FreeMemoryIndex:
-    """The decode runners that may be used, most free memory first."""
+    """The usable decode runners in descending order of free memory."""
 
     def __init__(self) -> None:
         self._runners: dict[str, runner_info.RunnerInfo] = {}
@@ -29,7 +29,7 @@
         return iter(self._runners.values())
 
     def put(self, runner: runner_info.RunnerInfo, free_tokens: float) -> None:
-        """Add a runner, or take note of what it has free now."""
+        """Add a runner or update its free memory."""
         self.remove(runner.runner_id)
         key = (-free_tokens, runner.runner_id)
         self._runners[runner.runner_id] = runner
@@ -41,7 +41,7 @@
         zone.add(key)
 
     def remove(self, runner_id: str) -> None:
-        """Forget a runner, if it is known."""
+        """Remove a runner if it is present."""
         runner = self._runners.pop(runner_id, None)
         if runner is None:
             return
@@ -54,18 +54,18 @@
         return self._runners[runner_id]
 
     def free_tokens(self, runner_id: str) -> float:
-        """Return the memory that a runner has free."""
+        """Return the free memory of a runner in tokens."""
         return self._free_tokens[runner_id]
 
     def by_free_memory(
         self, zone: str | None = None
     ) -> typing.Iterator[tuple[float, runner_info.RunnerInfo]]:
-        """Yield runners and their free memory, most first.
+        """Yield free memory and runner, most free memory first.
 
         Parameters
         ----------
         zone : str or None
-            Only those of this zone; all if it is left out.
+            Restricts the runners to one zone; None for all.
         """
         order = self._order if zone is None else self._zones.get(zone, ())
         for negated, runner_id in order:
--- a/limpetroute/routing/moving_mean.py
+++ b/limpetroute/routing/moving_mean.py
@@ -1,23 +1,23 @@
-"""The mean of what came of late."""
+"""A moving mean with an initial guess."""
 
-# Of the mean, this part is from the newest one; some sixty streams, a few
-# seconds of them, make up most of it.
+# Weight of the newest value; the last sixty streams, which arrive within a few
+# seconds, make up most of the mean.
 MIN_WEIGHT = 1 / 32
-# The first guess counts for as much as this many: a few first callers
-# say little, and a change of stage that is taken back costs twice its time.
+# Number of values that the initial guess counts for: the first few callers are
+# not representative, and a stage change that is undone costs its time twice.
 GUESS_WEIGHT = 16
 
 
 class MovingMean:
-    """The mean of what came of late.
+    """A moving mean with an initial guess.
 
-    Each of the first ones counts as much as the others; later the newest
-    ones push earlier ones, and the first guess, out.
+    The first values all have the same weight. Later ones gradually replace
+    earlier ones and the initial guess.
 
     Parameters
     ----------
-    first : float
-        The first guess.
+    initial : float
+        The initial guess.
     """
 
     def __init__(self, initial: float) -> None:
@@ -29,11 +29,11 @@
 
     @property
     def mean(self) -> float:
-        """The mean."""
+        """The current mean."""
         return self._mean
 
     def note(self, value: float) -> None:
-        """Take note of what came."""
+        """Add a value."""
         self._count += 1
         weight = max(MIN_WEIGHT, 1 / self._count)
         self._mean += (value - self._mean) * weight
--- a/limpetroute/routing/pool_sizing.py
+++ b/limpetroute/routing/pool_sizing.py
@@ -1,4 +1,4 @@
-"""How many of a service's runners read prompts."""
+"""Determines how many of a service's runners should prefill."""
 
 import dataclasses
 import math
@@ -12,34 +12,35 @@
 from limpetroute.routing import stage_rates
 from limpetroute.routing import stream_times
 
-# Part of its time for which a prefill runner can be kept busy: prompts
-# come in clumps, and one that waits for more than a few others is late.
+# Share of its time for which a prefill runner can be kept busy: prompts arrive
+# in bursts, and a prompt that waits for more than a few others is late.
 PREFILL_UTILIZATION = 0.85
-# Halvings of the interval in which a split's rate is looked for: to a
-# thousandth of it.
+# Bisection steps of the search for a split's rate, which is then found to a
+# thousandth of the interval.
 HALVINGS = 10
-# Splits of a large pool that are tried first, and by how much their
-# distance shrinks from one round to the next.
+# Number of splits of a large pool that are tried first, and the factor by
+# which the step shrinks from one round to the next.
 INITIAL_SPLITS = 32
 STEP_DIVISOR = 4
-# A change takes a runner away for the time of its streams and of the
-# change, and another one back takes as long. It has to let in this many
-# times the streams, as measured rates move by themselves.
+# A change takes a runner away until its streams have ended and its stage has
+# changed, and undoing it takes as long. Because measured rates fluctuate, a
+# change must raise the rate of accepted streams by this factor.
 MIN_CHANGE_GAIN = 1.2
-# One runner of this many may be changing at a time; of fewer, one.
+# One in this many runners may change its stage at a time; in smaller pools,
+# one runner.
 RUNNERS_PER_CHANGE = 10
-# A runner that has failed all it was sent for this long is taken to be
-# gone for good: one that crashes is mostly back within five seconds.
+# A runner that has failed all requests for this long is considered gone for
+# good: a runner that crashes is usually back within five seconds.
 GONE_AFTER_S = 6.0
-# With two decode runners left and no other, neither is taken away at
-# once: the other would be alone for the time of a change. Most runners
-# that crash are back by then.
+# If only two decode runners are left, neither is changed at once, because the
+# other would be the only one during the change. Most runners that crash are
+# back within this time.
 LAST_DECODE_RUNNER_GRACE_S = 4.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StageChange:
-    """A runner that is to change its stage."""
+    """A runner that should change its stage, and the new stage."""
 
     runner_id: str
     stage: stage_module.Stage
@@ -52,14 +53,15 @@
     engine: service_module.Engine,
     rates: stage_rates.StageRates,
 ) -> float:
-    """Return how many streams a second a split lets in.
+    """Return the rate of streams that a split of the pool can accept.
 
-    Readers take what they can; the rest is read by the writers, whose
-    streams go on at a slower pace meanwhile and hold their memory for
-    longer. How much longer depends on how many are let in: the answer
-    lies where places and the time for which they are held agree. Where
-    streams all but stand still meanwhile, what writers read is not
-    counted: each such prompt makes the events of all others late.
+    Prefill runners take as many prompts as they can; the decode runners
+    prefill the rest. Meanwhile their streams decode at a slower pace and hold
+    memory for longer. How much longer depends on the accepted rate, so the
+    rate is found by bisection: it is the highest one at which the streams held
+    at once fit the slots. If streams almost stop during a prefill, prefills by
+    decode runners are not counted, because each of them makes the events of
+    all other streams late.
     """
     by_prefill_runners = (
         prefill_runners * PREFILL_UTILIZATION / rates.prefill_s
@@ -95,28 +97,29 @@
     engine: service_module.Engine,
     rates: stage_rates.StageRates,
 ) -> int:
-    """Return how many of a service's runners should read prompts.
+    """Return how many of a service's runners should prefill.
 
-    Pattern: what prompts and answers ask of the two stages differs from
-    service to service by a factor of ten. Prompts of 5,000 tokens with
-    answers of 5,000 want one reader to five writers; with answers of 550,
-    one to two. One reader too few, and prompts wait for it while slots
-    stand empty; one too many, and it stands idle while there are no slots.
+    Pattern: the ratio of prefill to decode work differs from service to
+    service by a factor of ten. Prompts of 5,000 tokens with answers of 5,000
+    need one prefill runner to five decode runners; with answers of 550, one to
+    two. With one prefill runner too few, prompts wait while slots are free;
+    with one too many, it is idle while no slots are free.
 
-    So the split is taken that lets in the most streams by what is
-    measured: the lengths that are asked for, the speeds of reading and
-    writing, and what binds of places and memory.
+    So the split with the highest accepted rate is chosen, based on the
+    measured lengths of prompts and answers, the speeds of prefill and decode,
+    and the slots or memory, whichever is the limit.
     """
     if runners < 2:
         return 0
     if runners == 2 and _memory_binds(engine, rates):
-        # A prefill runner's memory holds no streams: one of two that
-        # reads leaves half of the callers out where memory binds.
+        # A prefill runner's memory holds no streams. If memory is the limit,
+        # one of two runners for prefill would leave half of the callers
+        # without a slot.
         return 0
     best = 1
     best_per_s = 0.0
     # The rate rises to its peak and falls from there, so a large pool is
-    # searched in steps that get smaller around the best one.
+    # searched in steps that get smaller around the best split.
     step = max(1, runners // INITIAL_SPLITS)
     tried = range(0, runners, step)
     while True:
@@ -140,14 +143,14 @@
 def concurrent_streams(
     engine: service_module.Engine, rates: stage_rates.StageRates
 ) -> float:
-    """Return how many streams a decode runner has at once.
+    """Return the number of streams that a decode runner holds at once.
 
     Parameters
     ----------
     engine : Engine
-        Its slots and memory.
+        Slots and memory of the runner.
     rates : StageRates
-        What was measured of its streams.
+        Measured rates of its streams.
     """
     usable_tokens = memory_headroom.usable_tokens(
         engine.memory_tokens,
@@ -162,7 +165,7 @@
 def _memory_binds(
     engine: service_module.Engine, rates: stage_rates.StageRates
 ) -> bool:
-    """Return whether a writer's memory is full before its places are."""
+    """Return whether a decode runner runs out of memory before slots."""
     return engine.memory_tokens < engine.slots * rates.memory_tokens
 
 
@@ -174,23 +177,23 @@
     rates: stage_rates.StageRates | None = None,
     gone_s: typing.Mapping[str, float] | None = None,
 ) -> StageChange | None:
-    """Return the next change towards the wanted split, if one is due.
+    """Return the next change towards the target split, or None.
 
-    Few runners change at a time: each is away for seconds, and until it
-    announces its new stage it is counted there already.
+    Only a few runners change at a time: each is away for seconds. Until a
+    runner announces its new stage, it is already counted there.
 
     Parameters
     ----------
     runners : iterable of RunnerInfo
         Runners of one service.
     engine : Engine
-        Places and memory of each.
+        Slots and memory of each runner.
     changing : collection of str
-        Runners that were ordered to change and have not done so.
+        Runners that were ordered to change their stage and have not done so.
     rates : StageRates, optional
-        What was measured; a first guess if it is left out.
+        Measured rates; the default rates if omitted.
     gone_s : mapping of str to float, optional
-        For how long runners have seemed gone, by identity.
+        Time in seconds for which runners have seemed gone, by identity.
     """
     lost = {
         name for name, for_s in (gone_s or {}).items() if for_s >= GONE_AFTER_S
@@ -204,8 +207,8 @@
     if not ready or len(under_way) >= _changes_at_once(len(ready)):
         return None
     if len(changing) > len(under_way):
-        # One that was ordered is gone or leaves: what it was ordered for
-        # is decided anew once that is settled.
+        # A runner that was ordered to change is gone or leaving. The next
+        # change is decided once that order is settled.
         return None
     rates = rates or stage_rates.default_rates(engine)
     settled = [one for one in ready if one.runner_id not in changing]
@@ -224,7 +227,8 @@
     ):
         return None
     if will_prefill > wanted and prefill_runners:
-        # The last by name: every host that decides picks the same one.
+        # The last one by name, so that every host that decides picks the same
+        # one.
         chosen = max(prefill_runners, key=lambda one: one.runner_id)
         return StageChange(
             runner_id=chosen.runner_id, stage=stage_module.Stage.DECODE
@@ -238,7 +242,7 @@
 
 
 def _changes_at_once(runners: int) -> int:
-    """Return how many runners may be away for a change."""
+    """Return how many runners may change their stage at a time."""
     return max(1, runners // RUNNERS_PER_CHANGE)
 
 
@@ -249,7 +253,7 @@
     engine: service_module.Engine,
     rates: stage_rates.StageRates,
 ) -> bool:
-    """Return whether the wanted split lets in enough more streams."""
+    """Return whether the target split accepts enough more streams."""
     if prefill_runners >= runners or runners <= 2:
         return True
     now_per_s = streams_per_s(
@@ -267,7 +271,7 @@
     *,
     gone_s: typing.Mapping[str, float],
 ) -> int:
-    """Return how many writers that answer are left during a change."""
+    """Return how many working decode runners are left during a change."""
     return sum(
         one.ready
         and one.stage is stage_module.Stage.DECODE
@@ -278,11 +282,11 @@
 
 
 def change_delay_s(change: StageChange, decode_runners: int) -> float:
-    """Return how long a change has to be wanted before it is ordered.
+    """Return how long a change must be wanted before it is ordered.
 
-    Pattern: the last reader leaves while one of the two writers has just
-    crashed, or is about to leave. An order takes the other one away for
-    seconds, and with the next loss nobody is left.
+    Pattern: the last prefill runner leaves while one of the two decode runners
+    has just crashed, or is about to leave. An order would take the other one
+    away for seconds, and the next loss would leave no decode runner.
     """
     if change.stage is stage_module.Stage.DECODE:
         return 0.0
--- a/limpetroute/routing/prefill_history.py
+++ b/limpetroute/routing/prefill_history.py
@@ -26,7 +26,7 @@
     def note(
         self, runner_id: str, request: placement.PlacementRequest
     ) -> bool:
-        """Record a prompt; return whether the runner had prefilled it before."""
+        """Record a prompt and return whether the runner had prefilled it."""
         if not request.prompt_id:
             return False
         key = (runner_id, f'{request.prompt_id} {request.prompt_tokens}')
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -1,4 +1,4 @@
-"""When runners are free to read the next prompt."""
+"""Tracks when runners are free to prefill the next prompt."""
 
 import collections
 import dataclasses
@@ -17,28 +17,28 @@
 from limpetroute.routing import stage_rates
 from limpetroute.routing import stream_times
 
-# A prompt that holds a runner's streams up for too long is only read where
-# it makes no more of them late than it is itself on time.
+# A decode runner prefills a prompt that exceeds the allowed gap only if this
+# delays no more on-time streams than it serves.
 MAX_DELAYED_STREAMS = 1
-# Up to so many decode runners, each is looked at.
+# In pools of up to this many decode runners, each runner is checked.
 SMALL_POOL_RUNNERS = 8
-# Runners of a service differ in speed: one that has not read yet may be
-# slower than the others.
+# Runners of a service differ in speed: a runner that has not prefilled yet may
+# be slower than the others.
 UNMEASURED_SPEED_RATIO = 0.85
-# Longest pause between events where a route names none.
+# Longest gap between events if the route sets none.
 DEFAULT_PAUSE_TARGET_S = 0.3
-# Readings that are queued at a prefill runner. Who waits there cannot be
-# put behind one that is due sooner, and a host that waits too long takes
-# the runner for dark; with less than two prompts queued, the runner would
-# stand still between two.
+# Prefills queued at a prefill runner, in seconds. A queued prompt cannot be
+# overtaken by one that is due sooner, and a host that waits too long considers
+# the runner unresponsive. With less than two prompts queued, the runner would
+# be idle between two prefills.
 MAX_QUEUE_S = 0.25
-# A reading that nothing was heard of for this long is over: its host
-# has taken the runner for dark before.
+# A prefill without a report for this long is considered over: by then its host
+# has given the runner up as unresponsive.
 PREFILL_TIMEOUT_S = 1.5
-# Beside the reading itself: the way to the entry host, to the runner and
-# back, and to who counts.
+# Time of a prefill's messages: to the entry host, to the runner and back, and
+# to the leader.
 NETWORK_DELAY_S = 0.02
-# Weight of one reading in a runner's measured speed.
+# Weight of one prefill in a runner's measured speed.
 SPEED_WEIGHT = 1 / 8
 
 
@@ -49,24 +49,25 @@
     queued_tokens: int
     started_s: float
     is_cached: bool
-    # Neither it nor what is queued before it is in the runner's cache.
+    # Whether neither this prompt nor those queued before it are in the
+    # runner's cache.
     is_measurable: bool
 
 
 class PrefillQueue:
-    """When runners are free to read the next prompt.
+    """Tracks when runners are free to prefill the next prompt.
 
-    Prefill runners read one prompt after the other. What is queued there
-    is counted from what was given and not heard of again: worked out
-    from a speed alone, the queue of a slower runner would grow unseen
-    until its readings are given up.
+    A prefill runner prefills one prompt after another. Its queue consists of
+    the prompts that it was given and whose end has not been reported. If the
+    queue were computed from a speed alone, that of a slower runner would grow
+    unnoticed until its hosts give the prefills up.
 
     Parameters
     ----------
     reserved : Reservations
-        The slots that are reserved.
-    prompt_size : UsualSize
-        Lengths of the prompts that come.
+        The reserved slots.
+    prompt_size : MovingMean
+        Mean length of the prompts.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         prompt_size: moving_mean.MovingMean,
     ) -> None:
         self._reservations = reserved
-        # In the order in which they began.
+        # In the order in which they were placed.
         self._prefills: dict[tuple[str, int], _Prefill] = {}
         self._queued: dict[str, int] = {}
         self._prefill_runners: dict[str, runner_info.RunnerInfo] = {}
@@ -88,7 +89,7 @@
         self._self_prefills = self_prefill_tracker.SelfPrefillTracker()
         self._prompt_size = prompt_size
         self._history = prefill_history.PrefillHistory()
-        # Readings of prompts in a cache, queued at each prefill runner.
+        # Number of cached prompts that are queued at each prefill runner.
         self._cached: collections.Counter[str] = collections.Counter()
 
     def __repr__(self) -> str:
@@ -96,7 +97,7 @@
 
     @property
     def tokens_per_s(self) -> float:
-        """How fast prefill runners read, as measured."""
+        """Mean measured speed of the prefill runners in tokens per second."""
         if not self._speeds:
             return stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
         return self._speed_sum / len(self._speeds)
@@ -106,7 +107,7 @@
         prefill_runners: typing.Iterable[runner_info.RunnerInfo],
         decode_runners: free_memory_index.FreeMemoryIndex | None = None,
     ) -> None:
-        """Take note of the runners that may be given prompts."""
+        """Replace the runners that may be given prompts."""
         if decode_runners is not None:
             self._decode_runners = decode_runners
         self._prefill_runners = {one.runner_id: one for one in prefill_runners}
@@ -116,7 +117,7 @@
             self._sort(runner_id)
 
     def first_free(self, now_s: float) -> runner_info.RunnerInfo | None:
-        """Return the prefill runner that is free first, if there is one."""
+        """Return the prefill runner with the shortest queue, or None."""
         self._expire(now_s)
         if not self._order:
             return None
@@ -131,13 +132,13 @@
     def queue_s(
         self, prefill_runner: runner_info.RunnerInfo, now_s: float
     ) -> float:
-        """Return for how long a prefill runner reads what it was given."""
+        """Return the time that a prefill runner needs for its queue."""
         self._expire(now_s)
         return self._queue_s(prefill_runner.runner_id)
 
     @property
     def mean_prefill_s(self) -> float:
-        """Time that a prefill runner takes for a prompt."""
+        """Mean time that a prefill runner takes for a prompt."""
         return self._prompt_size.mean / self.tokens_per_s
 
     def ready_s(
@@ -146,7 +147,7 @@
         prefill_runner: runner_info.RunnerInfo | None,
         now_s: float,
     ) -> float:
-        """Return when the first event is there, if it is read now."""
+        """Return when the first event of a prompt placed now is expected."""
         queue_s = 0.0
         if prefill_runner is not None:
             queue_s = self.queue_s(prefill_runner, now_s)
@@ -160,7 +161,10 @@
     def first_event_delay_s(
         self, request: placement.PlacementRequest, has_prefill_runner: bool
     ) -> float:
-        """Return the time from a place to the first event, as measured."""
+        """Return the expected time from a placement to the first event.
+
+        It does not include the queue of the prefill runner.
+        """
         if has_prefill_runner:
             prefill_s = request.prefill_tokens / self.tokens_per_s
             return stream_times.FIRST_EVENT_OVERHEAD_S + prefill_s
@@ -170,12 +174,17 @@
     def prefill_tokens_per_s(
         self, prefill_runner: runner_info.RunnerInfo | None
     ) -> float:
-        """Return the tokens a second that a prompt is read at.
+        """Return the speed at which a prompt is prefilled.
 
         Parameters
         ----------
-        reader : RunnerInfo or None
-            The prefill runner; None if a decode runner reads it.
+        prefill_runner : RunnerInfo or None
+            The prefill runner; None if a decode runner prefills the prompt.
+
+        Returns
+        -------
+        float
+            Tokens per second.
         """
         if prefill_runner is None:
             return self.self_prefill_tokens_per_s()
@@ -186,7 +195,7 @@
         request: placement.PlacementRequest,
         prefill_runner: runner_info.RunnerInfo | None,
     ) -> float:
-        """Return the longest time between two events beside its prefill."""
+        """Return the longest gap between events that a prefill causes."""
         if prefill_runner is not None:
             return 0.0
         prefill_s = request.prefill_tokens / self.self_prefill_tokens_per_s()
@@ -197,14 +206,14 @@
         )
 
     def self_prefill_tokens_per_s(self, runner_id: str | None = None) -> float:
-        """Return the tokens a second at which decode runners read.
+        """Return the prefill speed of decode runners in tokens per second.
 
-        Until it is measured, it follows from that of prefill runners.
+        Until it is measured, it is derived from that of prefill runners.
 
         Parameters
         ----------
         runner_id : str or None
-            One runner; what is known of all if it is left out.
+            One runner; None for all runners together.
         """
         measured = self._self_prefills.tokens_per_s(runner_id)
         return (
@@ -215,9 +224,9 @@
 
     @property
     def _event_s(self) -> float:
-        """Usual time between two events at the slowest of few runners.
+        """Usual time between two events on the slowest runner of a small pool.
 
-        Of many, one that is slow is not waited for.
+        In a large pool, one slow runner does not set the pace.
         """
         if not 0 < len(self._decode_runners) <= SMALL_POOL_RUNNERS:
             return self._reservations.event_s
@@ -233,21 +242,21 @@
 
     @property
     def pace_beside_prefill(self) -> float:
-        """Part of their speed at which streams go on beside a reading."""
+        """Decode speed during a prefill as a share of the usual one."""
         return prefill_pause.pace(self._reservations.tokens_per_s)
 
     @property
     def decodes_during_prefill(self) -> bool:
-        """Whether streams go on while their runner reads a prompt.
+        """Whether streams progress while their runner prefills a prompt.
 
-        Where they all but stand still, each prompt that a writer reads
-        makes an event of all its streams late.
+        If they almost stop, each prompt that a decode runner prefills makes an
+        event of all its streams late.
         """
         return prefill_pause.is_pace_sufficient(self.pace_beside_prefill)
 
     @property
     def self_prefill_interval_s(self) -> float:
-        """Time after which a decode runner may read the next prompt."""
+        """Time after which a decode runner may prefill the next prompt."""
         prefill_s = self._prompt_size.mean / self.self_prefill_tokens_per_s()
         return prefill_s + self._event_s
 
@@ -258,7 +267,11 @@
         decode_runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> None:
-        """Take note of who reads a prompt from now on."""
+        """Record which runners prefill a prompt from now on.
+
+        A decode runner prefills the part of the answer that was written
+        before, even if a prefill runner prefills the prompt.
+        """
         self_prefill_tokens = (
             request.written_tokens
             if prefill_runner
@@ -300,12 +313,12 @@
     def note_prefill_done(
         self, request_id: str, attempt: int, now_s: float
     ) -> str | None:
-        """Take note of a prompt that was read, and how long it took.
+        """Record the end of a prefill, and measure the runner's speed.
 
         Returns
         -------
         str or None
-            Identity of the prefill runner that read it, if it is known.
+            Identity of the prefill runner; None if the prefill is unknown.
         """
         prefill = self._remove((request_id, attempt))
         if prefill is None:
@@ -326,16 +339,16 @@
     def note_first_event(
         self, request_id: str, attempt: int, took_s: float, now_s: float
     ) -> None:
-        """Take note of the first event after a decode runner's own reading.
+        """Record the first event after a decode runner's own prefill.
 
         Parameters
         ----------
         request_id, attempt : str, int
-            The stream.
+            Identify the stream.
         took_s : float
-            Time from its send to the event.
+            Time from sending the prompt to the event.
         now_s : float
-            A steady clock.
+            Monotonic time in seconds.
         """
         self._self_prefills.note_first_event(
             (request_id, attempt),
@@ -346,12 +359,12 @@
         )
 
     def drop(self, request_id: str, attempt: int) -> None:
-        """Forget a reading that failed or is not waited for any more."""
+        """Remove a prefill that failed or is no longer needed."""
         self._remove((request_id, attempt))
         self._self_prefills.drop((request_id, attempt))
 
     def reset_runner(self, runner_id: str) -> None:
-        """Forget what a runner reads and how fast; it has started again."""
+        """Drop the prefills and the speed of a runner that has restarted."""
         for key, prefill in list(self._prefills.items()):
             if prefill.prefill_id == runner_id:
                 self._remove(key)
@@ -363,10 +376,10 @@
     def may_self_prefill(
         self, decode_runner: runner_info.RunnerInfo, now_s: float
     ) -> bool:
-        """Return whether a decode runner may read a prompt now.
+        """Return whether a decode runner may prefill a prompt now.
 
-        Its own streams stand still while it reads: it takes one prompt
-        at a time.
+        A decode runner prefills one prompt at a time, because its streams
+        pause meanwhile.
         """
         if not self._reservations.stream_count(decode_runner.runner_id):
             return True
@@ -375,20 +388,20 @@
     def may_prefill_long(
         self, decode_runner: runner_info.RunnerInfo, *, on_time: bool = True
     ) -> bool:
-        """Return whether a decode runner may read a prompt of any length.
+        """Return whether a decode runner may prefill a prompt of any length.
 
         Parameters
         ----------
-        decoder : RunnerInfo
+        decode_runner : RunnerInfo
             The runner.
         on_time : bool
-            Whether the prompt's own stream is on time.
+            Whether the prompt's own stream meets its targets.
         """
         made_late = self._reservations.on_time_count(decode_runner.runner_id)
         return made_late <= (MAX_DELAYED_STREAMS if on_time else 0)
 
     def exceeds_pause_limit(self, request: placement.PlacementRequest) -> bool:
-        """Return whether reading it holds streams up for too long."""
+        """Return whether prefilling a prompt delays streams for too long."""
         limit_s = request.pause_target_s or DEFAULT_PAUSE_TARGET_S
         pause_s = self.pause_beside_s(request, None)
         return prefill_pause.is_too_long(pause_s, limit_s)
@@ -396,7 +409,7 @@
     def self_prefill_free_s(
         self, decode_runner: runner_info.RunnerInfo, now_s: float
     ) -> float:
-        """Return when a decode runner has read what it was given."""
+        """Return when a decode runner has finished its own prefills."""
         return self._self_prefills.free_s(decode_runner.runner_id, now_s)
 
     def _queue_s(self, prefill_id: str) -> float:
@@ -404,7 +417,7 @@
         return tokens / self._speed(prefill_id)
 
     def _expire(self, now_s: float) -> None:
-        """Forget readings that nothing was heard of for too long."""
+        """Remove prefills without a report for longer than the timeout."""
         while self._prefills:
             key, oldest = next(iter(self._prefills.items()))
             if now_s - oldest.started_s <= PREFILL_TIMEOUT_S:
@@ -423,7 +436,7 @@
         return prefill
 
     def _sort(self, prefill_id: str) -> None:
-        """Put a prefill runner where its queue belongs in the order."""
+        """Update the position of a prefill runner in the order of queues."""
         known = self._key_of.pop(prefill_id, None)
         if known is not None:
             self._order.remove(known)
--- a/limpetroute/routing/recent_samples.py
+++ b/limpetroute/routing/recent_samples.py
@@ -32,6 +32,6 @@
         self._ordered = sorted(self._samples)
 
     def quantile(self, fraction: float) -> float:
-        """Return the value that this fraction of the samples does not exceed."""
+        """Return the value that a fraction of the samples does not exceed."""
         count = len(self._ordered)
         return self._ordered[min(count - 1, int(count * fraction))]
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -1,4 +1,4 @@
-"""The slots that are reserved, and how long their streams last."""
+"""Reserved decode slots and the forecasts of their streams."""
 
 import dataclasses
 import heapq
@@ -17,13 +17,13 @@
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
 
-# Ends shorter than this say little of a stream's speed.
+# Shorter streams do not give a reliable decode speed.
 MIN_MEASURED_S = 0.2
-# Of fewer events, one long pause makes up the mean.
+# With fewer events, one long gap dominates the mean.
 MIN_EVENTS = 8
-# Memory is planned with the deviation of answers as it was until it has
-# moved by this part: it moves a little with each answer, and with it the
-# room of every runner.
+# The usable memory of each runner depends on the deviation of answers, which
+# changes a little with each answer. Planning uses a new value only once it
+# differs by this share.
 DEVIATION_STEP = 0.05
 
 
@@ -37,12 +37,12 @@
 
 
 class Reservations:
-    """The slots that are reserved, and how long their streams last.
+    """Reserved decode slots and the forecasts of their streams.
 
     Parameters
     ----------
     engine : Engine
-        Slots and memory of the runners.
+        Slots and memory of each runner.
     """
 
     def __init__(self, *, engine: service_module.Engine) -> None:
@@ -76,7 +76,7 @@
 
     @property
     def tokens_per_s(self) -> float:
-        """How fast one stream writes, as measured."""
+        """Measured decode speed of one stream in tokens per second."""
         return self._speed.mean
 
     @property
@@ -91,11 +91,11 @@
 
     @property
     def deviation_tokens(self) -> float:
-        """How far answers are from what was expected of them."""
+        """Standard deviation of an answer from its expected length."""
         return math.sqrt(self._square_error.mean)
 
     def usable_tokens(self, streams: int) -> float:
-        """Return the memory of a runner with so many streams to plan for."""
+        """Return the memory that may be planned for with this many streams."""
         known = self._rooms.get(streams)
         if known is None:
             known = memory_headroom.usable_tokens(
@@ -107,10 +107,10 @@
         return known
 
     def free_tokens(self, runner_id: str, now_s: float) -> float:
-        """Return the memory that another stream could take at a runner.
+        """Return the memory that another stream could take on a runner.
 
-        That is until the first of the runner's streams ends; less may be
-        free later. Minus infinity where all slots are taken.
+        The value holds until the first of the runner's streams ends; less may
+        be free later. It is minus infinity if all slots are taken.
         """
         streams = self.stream_count(runner_id)
         if streams >= self._engine.slots:
@@ -131,16 +131,16 @@
 
         Parameters
         ----------
-        place : Placement
-            Where.
-        ask : PlacementRequest
+        placed : Placement
+            The runners of the stream.
+        request : PlacementRequest
             The stream.
         sent_s : float
-            When its caller sent it.
+            When the caller sent the request.
         begins_s : float
-            When its first event is expected.
+            When the first event is expected.
         on_time : bool
-            Whether that meets its target.
+            Whether that meets the target of the stream.
         """
         reserved = _Reservation(
             placed=placed,
@@ -162,7 +162,10 @@
         self._changed.add(placed.decode_id)
 
     def drop(self, request_id: str) -> int | None:
-        """Forget a reservation, learn nothing, and return its attempt."""
+        """Remove a reservation and return its attempt, or None.
+
+        Nothing is learned from its stream.
+        """
         reserved = self._remove(request_id)
         return reserved.request.attempt if reserved is not None else None
 
@@ -172,8 +175,8 @@
         Returns
         -------
         Placement or None
-            None where the slot was released before; what says so was
-            overtaken by the next request under the same id.
+            None if the slot was released before, or if the stream has been
+            placed again under the same id for a later attempt.
         """
         if end.decode_s > MIN_MEASURED_S and end.output_tokens:
             self._speed.note(end.output_tokens / end.decode_s)
@@ -192,7 +195,7 @@
         return reserved.placed
 
     def expire(self, now_s: float) -> None:
-        """Drop reservations whose entry host died without a release."""
+        """Remove reservations whose entry host died without releasing them."""
         while self._expiries and self._expiries[0][0] < now_s:
             expires_s, request_id = heapq.heappop(self._expiries)
             reserved = self._reserved.get(request_id)
@@ -200,10 +203,10 @@
                 self._remove(request_id)
 
     def reset_runner(self, runner_id: str) -> None:
-        """Drop the reservations at a runner that has started again.
+        """Remove the reservations of a runner that has restarted.
 
-        Its streams are over. Their ends come from their hosts, some of
-        them after the first new streams are placed there.
+        Its streams are over. Their hosts report that later, some of them after
+        the first new streams are placed on the runner.
         """
         self._event_s.pop(runner_id, None)
         known = self._by_runner.get(runner_id)
@@ -218,12 +221,12 @@
         return changed
 
     def take_freed(self) -> set[str]:
-        """Return the runners that a stream left since the last call."""
+        """Return the runners where a stream ended since the last call."""
         freed, self._freed = self._freed, set()
         return freed
 
     def stream_count(self, runner_id: str) -> int:
-        """Return how many streams a runner decodes."""
+        """Return the number of streams that a runner decodes."""
         known = self._by_runner.get(runner_id)
         return known.stream_count if known is not None else 0
 
@@ -233,37 +236,38 @@
         return known.on_time_count if known is not None else 0
 
     def on_time_ends_s(self, runner_id: str, now_s: float) -> list[float]:
-        """Return when the streams of a runner that are on time end."""
+        """Return the expected ends of a runner's on-time streams, in order."""
         known = self._by_runner.get(runner_id)
         return known.on_time_ends_s(now_s) if known is not None else []
 
     def note_long_pause(self, runner_id: str) -> None:
-        """Take note of a pause that makes all of a runner's streams late."""
+        """Record a gap that makes all streams of a runner late."""
         known = self._by_runner.get(runner_id)
         if known is not None:
             known.note_long_pause()
 
     def note_first_event(self, request_id: str, now_s: float) -> None:
-        """Take note of when a stream's first event came."""
+        """Record whether a stream's first event came too late."""
         reserved = self._reserved.get(request_id)
         if reserved is not None and now_s > reserved.due_s:
             self._runner(reserved.placed.decode_id).note_late(request_id)
 
     def uses(self, runner_id: str) -> int:
-        """Return how many streams a runner prefills or decodes."""
+        """Return the number of streams that a runner prefills or decodes."""
         known = self._by_runner.get(runner_id)
         return known.uses if known is not None else 0
 
     def profile(
         self, runner_id: str, now_s: float
     ) -> memory_profile.MemoryProfile:
-        """Return the memory that a runner's streams take over time."""
+        """Return the memory of a runner's streams over time."""
         return self._runner(runner_id).profile(now_s)
 
     def next_ends_s(self, count: int, now_s: float) -> list[float]:
         """Return when the next slots become free, in order.
 
-        A stream that has outlasted its estimate ends some time later.
+        A stream that has exceeded its expected length ends at an estimated
+        later time.
         """
         while self._ends and self._ends[0][0] < now_s:
             _, request_id = self._ends[0]
@@ -273,7 +277,7 @@
         return [end_s for end_s, _ in self._ends.islice(0, count)]
 
     def expected_tokens(self, request: placement.PlacementRequest) -> int:
-        """Return how long a stream's whole answer should become."""
+        """Return the expected length of a stream's whole answer in tokens."""
         return self._lengths.tokens(
             estimated_tokens=request.output_tokens,
             most_tokens=request.most_output_tokens,
@@ -282,7 +286,7 @@
     def forecast_memory(
         self, request: placement.PlacementRequest, begins_s: float
     ) -> memory_forecast.MemoryForecast:
-        """Return how a stream's memory grows if it begins then."""
+        """Return the memory forecast of a stream that begins at some time."""
         expected = self.expected_tokens(request)
         written = request.written_tokens
         return memory_forecast.MemoryForecast(
--- a/limpetroute/routing/retry_after.py
+++ b/limpetroute/routing/retry_after.py
@@ -1,28 +1,28 @@
-"""When a refused stream's caller should come back."""
+"""Estimates when the caller of a rejected stream should retry."""
 
 import collections
 
-# Rates are counted over this time: bursts last some four seconds, and
-# with less than two, the few streams in it say nothing.
+# Window for counting arrivals and releases. Bursts last about four seconds; in
+# less than two, there are too few streams to count.
 WINDOW_S = 2.0
-# Callers keep to a time of up to this part of what they have left.
+# Callers honor a Retry-After up to this share of their remaining time.
 HONORED_SHARE = 1 / 3
-# With less than this part of the places that become free left for who
-# comes back, the shortage is taken to last.
+# If new streams leave less than this share of the released slots for returning
+# callers, the shortage is considered lasting.
 MIN_SPARE_SHARE = 0.1
 MIN_RETRY_AFTER_S = 0.3
 
 
 class RetryAfterEstimator:
-    """When a refused stream's caller should come back.
+    """Estimates when the caller of a rejected stream should retry.
 
-    Pattern: a burst of new streams for some seconds, or a runner lost.
-    A late answer is worth the same until its caller's deadline, and a
-    caller comes back once. Told to come when the next place becomes
-    free, callers meet the same burst and are refused for good. So they
-    are told the time at which those told before them have been let in
-    beside the new streams; and, while nothing is left beside these, the
-    latest that callers keep to.
+    Pattern: new streams arrive in a burst of some seconds, or a runner is
+    lost. A late answer has the same value until the caller's deadline, and a
+    caller retries once. If callers retried when the next slot becomes free,
+    they would meet the same burst and be rejected for good. So the delay
+    covers the time in which callers that were rejected before are placed along
+    with the new streams. While new streams take all slots, it is the longest
+    delay that callers honor.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         self._arrivals_s.append(now_s)
 
     def note_release(self, now_s: float) -> None:
-        """Count a place that became free."""
+        """Count a slot that became free."""
         self._releases_s.append(now_s)
 
     def retry_after_s(
@@ -51,18 +51,19 @@
         remaining_s: float,
         now_s: float,
     ) -> float:
-        """Return the time after which a caller should come back.
+        """Return the time after which a caller should retry.
 
         Parameters
         ----------
-        place_s : float
-            Time until the next place that is not yet meant for another.
-        expected_back : int
-            Callers that were told to come back and have not.
-        patience_s : float
-            Time that the caller has left.
+        slot_wait_s : float
+            Time until the next free slot that is not taken by a waiting
+            stream.
+        expected_returns : int
+            Number of rejected callers that have not retried yet.
+        remaining_s : float
+            Time until the caller's deadline.
         now_s : float
-            A steady clock.
+            Monotonic time in seconds.
         """
         latest_s = max(MIN_RETRY_AFTER_S, remaining_s * HONORED_SHARE)
         released = _count(self._releases_s, now_s)
--- a/limpetroute/routing/retry_tracker.py
+++ b/limpetroute/routing/retry_tracker.py
@@ -1,4 +1,4 @@
-"""Knows streams that come back after a refusal."""
+"""Recognizes streams that callers retry after a rejection."""
 
 import collections
 import dataclasses
@@ -7,11 +7,11 @@
 
 from limpetroute.routing import placement
 
-# Callers forget nothing sooner than their patience ends; this bounds the
-# memory where thousands are refused each second (about 200 bytes each).
+# Entries are kept until the caller's deadline. This limits the memory if
+# thousands of streams are rejected each second (about 200 bytes each).
 MAX_TRACKED = 20_000
-# What became of callers who came back is counted over this time, and from
-# so many on.
+# Window for counting the outcomes of retries, and the number of outcomes
+# needed to compute a share.
 OUTCOME_WINDOW_S = 8.0
 MIN_OUTCOMES = 6
 
@@ -24,20 +24,20 @@
 
 
 class RetryTracker:
-    """Knows streams that come back after a refusal.
+    """Recognizes streams that callers retry after a rejection.
 
-    A caller that comes back has a new request id, and comes to another
-    host. What stays is its prompt. Its target still counts from the
-    first time it asked: taken for a new stream, it would get a place in
-    which its answer is late anyway, before one that could be in time.
+    A retry has a new request id and may reach another host, but has the same
+    prompt. Its target still counts from the first request. If it were treated
+    as a new stream, it would be placed although its answer is late in any
+    case, before a stream that could be on time.
 
-    What is known is lost with the leader; whoever comes back then counts
-    as new.
+    The entries are lost with the leader; retries then count as new streams.
     """
 
     def __init__(self) -> None:
         self._refused: dict[str, _Refused] = {}
-        # Those who are not back yet, by when they are not waited for.
+        # Callers that have not retried yet, by the time until which a retry is
+        # expected.
         self._awaited = sortedcontainers.SortedList()
         self._outcomes: collections.deque[tuple[float, bool]] = (
             collections.deque()
@@ -49,7 +49,7 @@
     def first_sent_s(
         self, request: placement.PlacementRequest, sent_s: float, now_s: float
     ) -> float:
-        """Return when a stream's caller asked for the first time."""
+        """Return when the caller sent this prompt for the first time."""
         known = self._refused.get(_key(request))
         if known is None or now_s > known.expires_s:
             return sent_s
@@ -62,7 +62,7 @@
         first_sent_s: float,
         now_s: float,
     ) -> None:
-        """Take note of a stream that is refused."""
+        """Record a stream that is rejected."""
         if not request.prompt_id:
             return
         self._note_outcome(request, now_s, served=False)
@@ -76,21 +76,21 @@
         self._expire(now_s)
 
     def expected_returns(self, now_s: float) -> int:
-        """Return how many callers have yet to come back."""
+        """Return how many rejected callers are still expected to retry."""
         over = self._awaited.bisect_left((now_s, ''))
         return len(self._awaited) - over
 
     def note_served(
         self, request: placement.PlacementRequest, now_s: float
     ) -> None:
-        """Forget a stream that got a place."""
+        """Remove a stream that was placed."""
         self._note_outcome(request, now_s, served=True)
         self._remove(_key(request))
 
     def served_share(self, now_s: float) -> float | None:
-        """Return which part of those who came back of late got a place.
+        """Return the share of recent retries that were placed.
 
-        None while too few came.
+        Returns None if there were too few retries.
         """
         outcomes = self._outcomes
         while outcomes and now_s - outcomes[0][0] > OUTCOME_WINDOW_S:
@@ -111,7 +111,7 @@
             self._outcomes.append((now_s, served))
 
     def _expire(self, now_s: float) -> None:
-        """Drop the oldest ones that are over, or too many."""
+        """Remove the oldest entries that have expired or exceed the limit."""
         while self._refused:
             oldest = next(iter(self._refused))
             is_over = now_s > self._refused[oldest].expires_s
@@ -131,10 +131,10 @@
 
 
 def _key(request: placement.PlacementRequest) -> str:
-    """Return what names a prompt, whoever asks for it again.
+    """Return the key that identifies a prompt across requests.
 
-    A session may send several prompts under one name; their sizes tell
-    them apart.
+    A session may send several prompts under one id; their sizes tell them
+    apart.
     """
     return (
         f'{request.prompt_id} {request.prompt_tokens} '
--- a/limpetroute/routing/runner_reservations.py
+++ b/limpetroute/routing/runner_reservations.py
@@ -1,11 +1,11 @@
-"""The slots of one runner that are reserved."""
+"""Reserved slots of one runner."""
 
 from limpetroute.routing import memory_forecast
 from limpetroute.routing import memory_profile
 
 
 class RunnerReservations:
-    """The slots of one runner that are reserved."""
+    """Reserved slots of one runner."""
 
     def __init__(self) -> None:
         self._streams: dict[str, memory_forecast.MemoryForecast] = {}
@@ -31,12 +31,12 @@
 
     @property
     def request_ids(self) -> list[str]:
-        """The streams that the runner decodes."""
+        """Ids of the streams that the runner decodes."""
         return list(self._streams)
 
     @property
     def on_time_count(self) -> int:
-        """Number of streams that a longer pause would make late."""
+        """Number of streams that still meet their targets."""
         return len(self._on_time)
 
     def add(
@@ -53,33 +53,33 @@
             self._on_time.add(request_id)
 
     def note_late(self, request_id: str) -> None:
-        """Take note that a stream has missed its targets."""
+        """Record that a stream has missed its target."""
         self._on_time.discard(request_id)
 
     def note_long_pause(self) -> None:
-        """Take note of a pause that makes all streams late."""
+        """Record a gap between events that makes all streams late."""
         self._on_time.clear()
 
     def on_time_ends_s(self, now_s: float) -> list[float]:
-        """Return when the streams that are on time end, in order."""
+        """Return the expected ends of the on-time streams, in order."""
         return sorted(
             max(now_s, self._streams[one].ends_s(now_s))
             for one in self._on_time
         )
 
     def add_prefill(self, request_id: str) -> None:
-        """Add a stream whose prompt the runner reads."""
+        """Add a stream whose prompt the runner prefills."""
         self._prefills.add(request_id)
 
     def discard(self, request_id: str) -> None:
-        """Forget a stream."""
+        """Remove a stream."""
         self._prefills.discard(request_id)
         self._on_time.discard(request_id)
         if self._streams.pop(request_id, None) is not None:
             self._profile = None
 
     def profile(self, now_s: float) -> memory_profile.MemoryProfile:
-        """Return the memory that its streams take until each one ends."""
+        """Return the memory of the runner's streams at each stream's end."""
         known = self._profile
         if known is None or now_s >= known.valid_until_s:
             known = memory_profile.MemoryProfile(self._streams.values(), now_s)
--- a/limpetroute/routing/self_prefill_index.py
+++ b/limpetroute/routing/self_prefill_index.py
@@ -1,4 +1,4 @@
-"""When decode runners may read prompts themselves."""
+"""Index of decode runners by the time they may prefill a prompt."""
 
 import bisect
 import math
@@ -8,16 +8,18 @@
 
 
 class SelfPrefillIndex:
-    """The decode runners with room, and when each may read a prompt.
+    """Decode runners with free memory, and when each may prefill a prompt.
+
+    A self-prefill is the prefill of a prompt by the decode runner itself.
 
     Parameters
     ----------
     prefill : PrefillQueue
-        When runners may read.
+        Tells when runners are free to prefill.
     fleet : Fleet
-        The runners that are used now.
+        The runners that may be used.
     now_s : float
-        A steady clock.
+        Monotonic time in seconds.
     """
 
     def __init__(
@@ -51,27 +53,30 @@
     def earliest(
         self, tokens: int, *, for_long_prompt: bool
     ) -> tuple[float, int]:
-        """Return when the first with room may read, and how many have it."""
+        """Return the earliest start on a runner with enough free memory.
+
+        The second value is the number of such runners.
+        """
         return (self._for_long_prompts if for_long_prompt else self._all).get(
             tokens
         )
 
 
 class _EarliestByMemory:
-    """The soonest time of runners with so much memory free."""
+    """Earliest start among the runners with at least some free memory."""
 
     def __init__(self) -> None:
         self._negated_tokens: list[float] = []
         self._earliest_s: list[float] = []
 
     def add(self, free_tokens: float, at_s: float) -> None:
-        """Add a runner with no more memory free than those before it."""
+        """Add a runner with no more free memory than those added before."""
         if self._earliest_s:
             at_s = min(at_s, self._earliest_s[-1])
         self._negated_tokens.append(-free_tokens)
         self._earliest_s.append(at_s)
 
     def get(self, tokens: int) -> tuple[float, int]:
-        """Return the soonest time and the number of runners."""
+        """Return the earliest time and the number of runners."""
         count = bisect.bisect_right(self._negated_tokens, -tokens)
         return (self._earliest_s[count - 1] if count else math.inf), count
--- a/limpetroute/routing/self_prefill_tracker.py
+++ b/limpetroute/routing/self_prefill_tracker.py
@@ -1,4 +1,4 @@
-"""The prompts that decode runners read themselves."""
+"""Tracks prompts that decode runners prefill themselves."""
 
 import dataclasses
 
@@ -7,20 +7,20 @@
 from limpetroute.routing import recent_samples
 from limpetroute.routing import stream_times
 
-# From the send of a prompt to its first event, beside the reading: the
-# way to the runner and back, and the first step.
+# Time from sending a prompt to its first event without the prefill: the
+# network delay both ways and the first decode step.
 NETWORK_DELAY_S = 0.01
 MIN_TOOK_S = 0.001
-# The part of the first events that come no later than is planned.
+# Share of first events that come no later than planned.
 OVERHEAD_QUANTILE = 0.8
-# A prompt whose first event nobody has told of counts as being read for
-# this many times the time that it should take, and no less than this.
+# A prompt whose first event is not reported counts as being prefilled for this
+# many times the expected time, and for at least this long.
 OVERDUE_FACTOR = 2.0
 MIN_OVERDUE_S = 1.5
-# How soon an overdue reading is taken to end, again and again.
+# An overdue prefill is repeatedly assumed to end this much later.
 OVERDUE_STEP_S = 0.05
 
-# In the place of a runner's identity.
+# Key of the samples of all runners, in place of a runner's identity.
 ALL_RUNNERS = ''
 
 Key = tuple[str, int]
@@ -36,12 +36,12 @@
 
 
 class SelfPrefillTracker:
-    """The prompts that decode runners read themselves.
+    """Tracks prompts that decode runners prefill themselves.
 
-    A runner's streams pause while it reads, and two prompts that it reads
-    within one of their events add up. So the next one waits until the
-    first event of the last is there, which its entry host tells, and its
-    streams have had an event since.
+    The streams of a decode runner pause during a prefill, and the pauses of
+    two prefills within one of their events add up. So the next prefill waits
+    until the entry host has reported the first event after the previous one,
+    and until the runner's streams have had another event.
     """
 
     def __init__(self) -> None:
@@ -59,19 +59,19 @@
 
     @property
     def overhead_s(self) -> float:
-        """Time from a placement to the first event, beside the reading."""
+        """Time from a placement to the first event without the prefill."""
         return self._overheads.quantile(OVERHEAD_QUANTILE)
 
     def tokens_per_s(self, runner_id: str | None = None) -> float | None:
-        """Return how fast a runner reads; None until it is measured.
+        """Return a runner's prefill speed, or None until it is measured.
 
-        Waits at the runner make single prompts seem slow, and ones that
-        are in a cache make them seem fast: the middle one counts.
+        Prompts that wait at the runner seem slow and cached ones seem fast, so
+        the median counts.
 
         Parameters
         ----------
         runner_id : str or None
-            One runner, or None for what all of them tell.
+            One runner, or None for all runners together.
         """
         known = self._speeds.get(runner_id or ALL_RUNNERS)
         return known.quantile(0.5) if known is not None else None
@@ -85,20 +85,21 @@
         prefill_s: float,
         now_s: float,
     ) -> None:
-        """Take note of a prompt that a decode runner reads from now on.
+        """Record a prompt that a decode runner prefills from now on.
 
         Parameters
         ----------
-        ask : PlacementRequest
+        request : PlacementRequest
             The stream.
         runner_id : str
             The decode runner.
         tokens : int
-            What it reads; a prefill runner may have read the rest.
-        read_s : float
-            Time that it should take.
+            Number of tokens it prefills; a prefill runner may prefill the
+            rest.
+        prefill_s : float
+            Expected duration.
         now_s : float
-            A steady clock.
+            Monotonic time in seconds.
         """
         key = (request.request_id, request.attempt)
         was_prefilled = self._history.note(runner_id, request)
@@ -108,7 +109,8 @@
             tokens=tokens,
             ends_s=now_s + prefill_s,
             expires_s=now_s + overdue_s,
-            # Of a resumed stream, some runner has the prompt in its cache.
+            # Some runner already has the prompt of a resumed stream in its
+            # cache, which would distort the measured speed.
             is_measurable=not was_prefilled and not request.goes_on,
         )
         self._current[runner_id] = key
@@ -122,21 +124,20 @@
         free_s: float,
         now_s: float,
     ) -> None:
-        """Take note of a first event.
+        """Record a first event and measure the runner's speed.
 
         Parameters
         ----------
         key : tuple of str and int
             The stream and its attempt.
         took_s : float
-            Time from the send to the first event.
-        usual_speed : float
-            Tokens a second that are taken for a runner's speed before it
-            has read.
+            Time from sending the prompt to the first event.
+        default_speed : float
+            Tokens per second that are assumed for a runner without samples.
         free_s : float
-            When the runner may read the next prompt.
+            When the runner may prefill the next prompt.
         now_s : float
-            A steady clock.
+            Monotonic time in seconds.
         """
         prefill = self._end(key, free_s)
         if prefill is None or not prefill.is_measurable:
@@ -151,13 +152,13 @@
         self._overheads.note(now_s - prefill.ends_s)
 
     def drop(self, key: Key) -> None:
-        """Forget a prompt whose stream is over."""
+        """Remove a prompt whose stream is over."""
         prefill = self._prefills.get(key)
         if prefill is not None:
             self._end(key, 0.0)
 
     def reset_runner(self, runner_id: str) -> None:
-        """Forget what a runner reads and how fast; it has started again."""
+        """Drop the prefills and the speed of a runner that has restarted."""
         for key, prefill in list(self._prefills.items()):
             if prefill.runner_id == runner_id:
                 del self._prefills[key]
@@ -167,7 +168,7 @@
         self._history.reset_runner(runner_id)
 
     def free_s(self, runner_id: str, now_s: float) -> float:
-        """Return when a runner may read the next prompt."""
+        """Return when a runner may prefill the next prompt."""
         key = self._current.get(runner_id)
         if key is None:
             return max(now_s, self._free_s.get(runner_id, now_s))
--- a/limpetroute/routing/stage_rates.py
+++ b/limpetroute/routing/stage_rates.py
@@ -1,27 +1,27 @@
-"""What a service's streams ask of its runners, and how fast these are."""
+"""Mean sizes of a service's streams and speeds of its runners."""
 
 import dataclasses
 
 from limpetroute.routing import prefill_pause
 from limpetroute.routing import service as service_module
 
-# What is taken for true until streams have been seen, for some seconds.
-# Engines group tokens into events so that about twenty come a second,
+# Defaults for the first seconds, until streams have been measured. Engines
+# group tokens into events so that about twenty events come per second,
 # whatever the speed of a single token is.
 DEFAULT_EVENT_S = 0.05
-# An answer of 3.5 s, to a prompt that is read in a tenth of a second.
+# An answer of 3.5 s, to a prompt that is prefilled in a tenth of a second.
 DEFAULT_EVENTS = 70
 DEFAULT_PROMPT_TOKENS = 5_000.0
 DEFAULT_PREFILL_TOKENS_PER_S = 50_000.0
-# A decode runner reads at half the speed of a prefill runner.
+# A decode runner prefills at half the speed of a prefill runner.
 SELF_PREFILL_SPEED_RATIO = 0.5
-# Answers differ from what is expected by about a third.
+# Answers differ from their expected length by about a third.
 DEFAULT_DEVIATION_RATIO = 0.3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StageRates:
-    """What a service's streams ask of its runners, and how fast these are.
+    """Mean sizes of a service's streams and speeds of its runners.
 
     Parameters
     ----------
@@ -30,12 +30,11 @@
     output_tokens : float
         Mean length of an answer.
     read_tokens_per_s : float
-        How fast a prefill runner reads, with what it takes for each
-        prompt beside the tokens.
+        Speed of a prefill runner, including its overhead for each prompt.
     write_tokens_per_s : float
-        How fast a decode runner writes each of its streams.
+        Decode speed of each stream on a decode runner.
     deviation_tokens : float
-        How far answers are from what was expected of them.
+        Standard deviation of an answer from its expected length.
     """
 
     prompt_tokens: float
@@ -46,17 +45,17 @@
 
     @property
     def prefill_s(self) -> float:
-        """Time that a prefill runner takes for a prompt."""
+        """Time that a prefill runner takes for a mean prompt."""
         return self.prompt_tokens / self.read_tokens_per_s
 
     @property
     def self_prefill_s(self) -> float:
-        """Time that a decode runner takes for a prompt."""
+        """Time that a decode runner takes for the prefill of a mean prompt."""
         return self.prefill_s / SELF_PREFILL_SPEED_RATIO
 
     @property
     def pace_beside_prefill(self) -> float:
-        """Part of their speed at which its streams go on meanwhile."""
+        """Decode speed during a prefill as a share of the usual one."""
         return prefill_pause.pace(self.write_tokens_per_s)
 
     @property
@@ -71,12 +70,12 @@
 
 
 def default_decode_tokens_per_s(engine: service_module.Engine) -> float:
-    """Return the speed of a stream that is expected before any was seen."""
+    """Return the decode speed that is assumed before any measurement."""
     return engine.tokens_per_event / DEFAULT_EVENT_S
 
 
 def default_rates(engine: service_module.Engine) -> StageRates:
-    """Return what is expected before any stream was seen."""
+    """Return the rates that are assumed before any measurement."""
     output_tokens = float(DEFAULT_EVENTS * engine.tokens_per_event)
     return StageRates(
         prompt_tokens=DEFAULT_PROMPT_TOKENS,
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -1,4 +1,4 @@
-"""Places streams at runners, for all entry hosts."""
+"""Places streams on runners, for all entry hosts."""
 
 import math
 import typing
@@ -23,51 +23,53 @@
 from limpetroute.routing import waiting_queue
 from limpetroute.routing import waiting_stream
 
-# A large stream at the head that does not fit lets smaller ones pass for
-# this long; after that, room that becomes free is kept for it.
+# If a large stream at the head of the queue does not fit, smaller ones may
+# pass it for this long. After that, freed capacity is kept for it.
 HEAD_OF_LINE_TIMEOUT_S = 0.25
-# As many streams that cannot make their target any more may wait as this
-# part of those that run at once; the rest are told at once when to come
-# back.
+# Number of streams that may wait although they can no longer meet their
+# target, as a share of the streams that run at once. The others are rejected
+# at once with a time to retry.
 LATE_WAITING_SHARE = 1 / 6
-# While streams wait that can still make it, one place in this many goes
-# to one that cannot: a late answer is worth a part, but not nothing.
+# While streams wait that can still meet their target, one placement in this
+# many goes to a stream that cannot: a late answer is worth less, but not
+# nothing.
 LATE_ADMISSION_INTERVAL = 8
-# All waiting streams are looked at anew this often. Between, an event is
-# offered to the streams and runners that it may concern.
+# Interval at which all waiting streams are checked again. In between, an event
+# is matched only with the streams and runners that it may affect.
 FULL_PASS_S = 0.05
-# Room checks of one pass; what is left goes on in the next one, so that
-# no pass keeps its process from other work.
+# Fit checks in one pass. The next pass handles the rest, so that no pass
+# blocks its process for long.
 MAX_FIT_CHECKS = 1000
 
 PlacementResult = placement.Placement | placement.Rejection
 
 
 class StreamScheduler:
-    """Places streams at the runners of one service.
+    """Places streams on the runners of one service.
 
-    Pattern: many entry hosts send streams to few runners. Each of them
-    sees only its own, so without one place that decides they fill a
-    runner beyond its slots and memory together: prompts are read for
-    streams that are then refused, and others are preempted in mid-answer.
+    Pattern: many entry hosts send streams to few runners. Each host sees only
+    its own streams. Without a central scheduler, the hosts together would
+    overload a runner's slots and memory: prompts would be prefilled for
+    streams that are then refused, and other streams would be preempted in the
+    middle of their answers.
 
-    Room at a decode runner is given before the prompt is read. Streams
-    that can still make their target go first, earliest target first. In
-    overload that order alone would serve each one just too late; so a
-    stream whose turn cannot come in time is told so at once, and only a
-    few late ones wait for what is left.
+    Capacity on a decode runner is reserved before the prompt is prefilled.
+    Streams that can still meet their target go first, earliest target first.
+    Under overload this order alone would serve each stream just too late. So a
+    stream that cannot be placed in time is rejected at once, and only a few
+    late ones wait for the remaining capacity.
 
-    A decision looks at what an event may have changed: a new stream at the
-    runners with most free memory, a runner that a stream has left at the
-    streams from the head of the queue on. At longer intervals, all
-    waiting streams are looked at anew.
+    A decision checks only what an event may have changed. A new stream is
+    checked against the runners with the most free memory, and a runner where a
+    stream ended against the streams at the head of the queue. At longer
+    intervals, all waiting streams are checked again.
 
     Parameters
     ----------
     engine : Engine
-        Places and memory of the runners.
+        Slots and memory of each runner.
     limits : RunnerLimits or None
-        Requests a second that runners take; None for no limits.
+        Request rates that the runners accept; None for no limits.
     """
 
     def __init__(
@@ -122,32 +124,32 @@
 
     @property
     def reservation_count(self) -> int:
-        """Number of places that are given."""
+        """Number of reservations."""
         return len(self._reservations)
 
     @property
     def waiting(self) -> int:
-        """Number of streams that wait."""
+        """Number of waiting streams."""
         return len(self._waiting)
 
     @property
     def unfinished(self) -> bool:
-        """Whether the last decision left streams to the next one."""
+        """Whether the last decision left streams for the next one."""
         return self._unfinished
 
     @property
     def fit_checks(self) -> int:
-        """How often it was worked out whether a stream fits a runner."""
+        """Number of checks so far whether a stream fits a runner."""
         return self._decode_placement.fit_checks
 
     @property
     def tokens_per_s(self) -> float:
-        """How fast one stream writes, as measured."""
+        """Measured decode speed of one stream in tokens per second."""
         return self._reservations.tokens_per_s
 
     @property
     def rates(self) -> stage_rates.StageRates:
-        """What streams ask of runners and how fast these are."""
+        """Mean sizes of the streams and speeds of the runners."""
         return stage_rates.StageRates(
             prompt_tokens=self._prompt_size.mean,
             output_tokens=self._output_size.mean,
@@ -163,11 +165,11 @@
         return self._outliers.gone_s(runners, now_s)
 
     def reset_runner(self, runner_id: str) -> None:
-        """Forget a runner's earlier life; it has started again.
+        """Drop the state of a runner that has restarted.
 
-        It holds and knows nothing of before. Counted on, its former
-        streams would keep new ones out until they expire, and failures
-        of a process that is gone would keep it at rest.
+        The new process has none of the earlier streams. If they were still
+        counted, they would block new streams until they expire, and failures
+        of the old process would keep the runner ejected.
         """
         self._reservations.reset_runner(runner_id)
         self._prefill.reset_runner(runner_id)
@@ -176,10 +178,11 @@
     def submit(
         self, request: placement.PlacementRequest, now_s: float
     ) -> None:
-        """Take a stream; `decide` tells what it gets.
+        """Add a stream to the queue; `decide` returns its result.
 
-        One that asks again has given its place back, and what says so
-        may come later or never.
+        A second request for the same stream means that its host has released
+        the earlier placement. The report of that release may arrive later or
+        never, so the placement is dropped here.
         """
         self._drop(request.request_id)
         sent_s = now_s - request.waited_s
@@ -193,20 +196,20 @@
             first_sent_s=first_sent_s,
             tokens=request.prefill_tokens,
         )
-        self._waiting.add(stream, self._in_time(stream, now_s))
+        self._waiting.add(stream, self._can_meet_target(stream, now_s))
         self._has_new = True
 
     def cancel(self, request_id: str) -> None:
-        """Forget a stream whose caller is gone."""
+        """Remove a stream whose caller has disconnected."""
         self._waiting.remove(request_id)
         self._drop(request_id)
 
     def note_first_event(
         self, request_id: str, attempt: int, took_s: float, now_s: float
     ) -> None:
-        """Take note of the first event after a decode runner's own reading.
+        """Record the first event after a decode runner's own prefill.
 
-        ``took_s`` is the time from the send to the event.
+        ``took_s`` is the time from sending the prompt to the event.
         """
         self._prefill.note_first_event(request_id, attempt, took_s, now_s)
         self._reservations.note_first_event(request_id, now_s)
@@ -214,7 +217,7 @@
     def note_prefill_done(
         self, request_id: str, attempt: int, now_s: float
     ) -> None:
-        """Take note that a prompt was read apart."""
+        """Record that a prefill runner has prefilled a prompt."""
         prefill_id = self._prefill.note_prefill_done(
             request_id, attempt, now_s
         )
@@ -222,7 +225,7 @@
             self._outliers.went_well(prefill_id)
 
     def release(self, end: placement.Release, now_s: float) -> None:
-        """Take a place back and learn from how the stream went."""
+        """Release a placement and learn from how the stream ended."""
         placed = self._reservations.release(end)
         self._prefill.drop(end.request_id, end.attempt)
         if placed is not None:
@@ -233,9 +236,9 @@
         for runner_id in end.failed:
             self._outliers.failed(runner_id, now_s)
         if placed is not None and end.whole and not end.failed:
-            # One that its caller gave up says nothing of the runner. Of the
-            # reader none does: its part was over seconds ago, and it may
-            # be gone since.
+            # A stream that its caller gave up shows nothing about the decode
+            # runner. No stream counts as a success of its prefill runner: that
+            # prefill ended seconds ago, and the runner may have failed since.
             self._outliers.went_well(placed.decode_id)
 
     def restore(
@@ -244,7 +247,7 @@
         request: placement.PlacementRequest,
         now_s: float,
     ) -> None:
-        """Take note of a place that another host gave before."""
+        """Add a placement that an earlier leader or an entry host made."""
         if placed.request_id in self._reservations:
             return
         self._reservations.add(
@@ -262,10 +265,11 @@
         *,
         changing: typing.Collection[str] = (),
     ) -> list[PlacementResult]:
-        """Return what waiting streams get now.
+        """Return the results of the streams that are decided now.
 
-        ``changing`` are runners that were told to change their stage:
-        for some seconds they refuse all, and are announced as they were.
+        ``changing`` are runners that were ordered to change their stage. For
+        some seconds they refuse all requests but are still announced with
+        their old stage.
         """
         self._reservations.expire(now_s)
         is_changed = self._fleet.refresh(runners, changing, now_s)
@@ -276,7 +280,7 @@
             )
         if full:
             self._full_pass_s = now_s
-            self._waiting.sort(lambda one: self._in_time(one, now_s))
+            self._waiting.sort(lambda one: self._can_meet_target(one, now_s))
             for one in self._waiting.in_order():
                 one.fits_nowhere = False
         self._estimate.refresh(len(self._waiting), now_s, full=full)
@@ -293,8 +297,10 @@
         if attempt is not None:
             self._prefill.drop(request_id, attempt)
 
-    def _in_time(self, one: waiting_stream.WaitingStream, at_s: float) -> bool:
-        """Return whether a place given then makes the stream's target."""
+    def _can_meet_target(
+        self, one: waiting_stream.WaitingStream, at_s: float
+    ) -> bool:
+        """Return whether a stream placed at a time meets its target."""
         has_prefill_runner = bool(self._fleet.prefill_runners)
         needed_s = self._prefill.first_event_delay_s(
             one.request, has_prefill_runner
@@ -321,7 +327,8 @@
         for one in self._waiting.in_order(late_first=late_first):
             waited_s = now_s - one.sent_s
             if one.fits_nowhere and one.tokens > freed_tokens:
-                # Nothing has changed for it since it was looked at.
+                # The situation of this stream has not changed since its last
+                # check.
                 if waited_s <= HEAD_OF_LINE_TIMEOUT_S:
                     continue
                 chosen = None
@@ -334,8 +341,9 @@
                 placements.append(self._place(one, chosen, now_s))
                 freed_tokens = choice.freed_tokens
                 continue
-            # One that cannot be read yet waits for streams to end, not
-            # for room: room that is kept free for it would stand empty.
+            # A stream that cannot be prefilled yet waits for other streams to
+            # end, not for capacity. Capacity that is kept free for it would be
+            # unused.
             if waited_s > HEAD_OF_LINE_TIMEOUT_S and (
                 self._estimate.can_be_prefilled(one.request)
             ):
@@ -348,7 +356,7 @@
         chosen: runner_choice.Chosen,
         now_s: float,
     ) -> placement.Placement:
-        if self._in_time(one, now_s):
+        if self._can_meet_target(one, now_s):
             self._in_time_in_a_row += 1
         else:
             self._in_time_in_a_row = 0
@@ -403,14 +411,14 @@
     def _reject_hopeless(
         self, now_s: float, *, full: bool
     ) -> list[placement.Rejection]:
-        """Turn away at once what no place will become free for.
+        """Reject waiting streams that cannot be placed in time.
 
-        Between full passes only new streams are looked at, behind those
-        that were found to have a turn.
+        Between full passes, only new streams are checked, queued behind those
+        that are expected to be placed.
         """
         has_decode_runner = bool(self._fleet.decode_runners)
         late_limit = max(1, round(self._streams_at_once * LATE_WAITING_SHARE))
-        room = capacity_probe.CapacityProbe(
+        probe = capacity_probe.CapacityProbe(
             decode_placement=self._decode_placement, now_s=now_s
         )
         late_first = self._in_time_in_a_row >= LATE_ADMISSION_INTERVAL
@@ -421,14 +429,14 @@
             if full or not one.is_examined:
                 one.is_examined = True
                 has_free_runner = (
-                    not one.fits_nowhere and room.has_free_runner(one.request)
+                    not one.fits_nowhere and probe.has_free_runner(one.request)
                 )
                 start_s = self._estimate.start_s(
                     one.request, ahead, has_free_runner
                 )
                 too_late = start_s - one.sent_s > one.max_wait_s
                 one.counts_in_queue = has_decode_runner and (
-                    self._in_time(one, start_s)
+                    self._can_meet_target(one, start_s)
                     or (one.request.goes_on and not too_late)
                 )
                 overdue = now_s - one.sent_s > one.max_wait_s
@@ -448,10 +456,10 @@
 
     @property
     def _streams_at_once(self) -> float:
-        """How many streams the decode runners have at once.
+        """Number of streams that the decode runners hold at once.
 
-        Slots alone would let hundreds wait for memory until they are
-        overdue, where a few dozen can be placed in time.
+        If slots alone counted, hundreds of streams would wait for memory until
+        they are overdue, although only a few dozen can be placed in time.
         """
         each = pool_sizing.concurrent_streams(self._engine, self.rates)
         return len(self._fleet.decode_runners) * each
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -1,4 +1,4 @@
-"""When a waiting stream's turn comes."""
+"""Estimates when waiting streams can be placed."""
 
 import math
 
@@ -9,26 +9,27 @@
 from limpetroute.routing import reservations
 from limpetroute.routing import self_prefill_index
 
-# Slots that are looked at beyond one for each waiting stream.
+# Number of expected slot releases to look up beyond one for each waiting
+# stream.
 EXTRA_ENDS = 16
 
 
 class WaitEstimate:
-    """When a waiting stream's turn comes.
+    """Estimates when waiting streams can be placed.
 
-    What holds for all streams is worked out once; for each stream it is
-    looked up.
+    Values that are the same for all streams are computed once per pass and
+    looked up for each stream.
 
     Parameters
     ----------
     reserved : Reservations
-        The slots that are reserved.
+        The reserved slots.
     prefill : PrefillQueue
-        When runners may read.
+        Tells when runners are free to prefill.
     fleet : Fleet
-        The runners that are used now.
+        The runners that may be used.
     decode_placement : DecodePlacement
-        Which decode runner has room.
+        Checks which decode runners have free capacity.
     """
 
     def __init__(
@@ -54,18 +55,18 @@
         return f'{type(self).__name__}(ends_s={self._ends_s!r})'
 
     def refresh(self, waiting: int, now_s: float, *, full: bool) -> None:
-        """Begin to answer for another moment.
+        """Set the time of the estimates and drop cached values.
 
         Parameters
         ----------
         waiting : int
-            Number of streams that wait.
+            Number of waiting streams.
         now_s : float
-            The moment.
+            Monotonic time in seconds.
         full : bool
-            Whether to look at each decode runner anew. Where there are
-            many, that takes too long for each event, and what was found
-            last is used until the next full pass.
+            Whether to check each decode runner again. In a large pool that
+            takes too long for each event, and the index of the last full pass
+            is used until the next one.
         """
         self._now_s = now_s
         self._waiting = waiting
@@ -80,7 +81,7 @@
             self._cached_index = None
 
     def can_be_prefilled(self, request: placement.PlacementRequest) -> bool:
-        """Return whether some runner may read a prompt once it is free."""
+        """Return whether some runner may prefill a prompt once it is free."""
         if request.reads_prompt and self._fleet.prefill_runners:
             return True
         if not self._prefill.exceeds_pause_limit(request):
@@ -93,7 +94,7 @@
         ahead: int,
         has_free_runner: bool,
     ) -> float:
-        """Return when a stream gets its place, after those ahead."""
+        """Return when a stream can be placed, after those ahead of it."""
         if not self.can_be_prefilled(request):
             return self._long_prefill_s()
         if not self._fleet.prefill_runners or not request.reads_prompt:
@@ -109,7 +110,7 @@
         return max(queue_s, self.slot_free_s(ahead))
 
     def slot_free_s(self, ahead: int) -> float:
-        """Return when the place after those ahead becomes free."""
+        """Return when a slot becomes free beyond those for streams ahead."""
         if self._ends_s is None:
             self._ends_s = self._reservations.next_ends_s(
                 self._waiting + EXTRA_ENDS, self._now_s
@@ -119,7 +120,7 @@
         return self._ends_s[-1] if self._ends_s else self._now_s
 
     def _queue_start_s(self, ahead: int) -> float:
-        """Return when a prefill runner takes a prompt, after others."""
+        """Return when a prefill runner accepts a prompt after those ahead."""
         if self._queue_s is None:
             first = self._prefill.first_free(self._now_s)
             self._queue_s = 0.0
@@ -135,10 +136,10 @@
     def _self_prefill_start_s(
         self, request: placement.PlacementRequest, ahead: int
     ) -> float:
-        """Return when a decode runner with room may read a prompt.
+        """Return when a decode runner with free capacity may prefill a prompt.
 
-        Such a runner has slots, but reads one prompt at a time: it is
-        waited for, not for the end of one of its streams.
+        Such a runner has free slots but prefills one prompt at a time. So the
+        stream waits for that runner's prefill, not for the end of a stream.
         """
         if len(self._fleet.decode_runners) <= prefill_queue.SMALL_POOL_RUNNERS:
             earliest_s, count = self._earliest_with_capacity(request)
@@ -156,7 +157,10 @@
     def _earliest_with_capacity(
         self, request: placement.PlacementRequest
     ) -> tuple[float, int]:
-        """Return when the first with room may read, and how many have it."""
+        """Return the earliest start on a runner with free capacity.
+
+        The second value is the number of such runners.
+        """
         for_long_prompt = self._prefill.exceeds_pause_limit(request)
         found_s = [
             self._prefill.self_prefill_free_s(runner, self._now_s)
@@ -179,10 +183,10 @@
         return self._cached_index
 
     def _long_prefill_s(self) -> float:
-        """Return when a decode runner may read a prompt of any length.
+        """Return when a decode runner may prefill a prompt of any length.
 
-        That is if it gets no new streams; where others wait, it comes
-        later or never.
+        This assumes that the runner gets no new streams; if others wait, the
+        time comes later or never.
         """
         if self._long_prefill_at_s is None:
             starts_s = []
--- a/limpetroute/routing/waiting_queue.py
+++ b/limpetroute/routing/waiting_queue.py
@@ -1,4 +1,4 @@
-"""The streams that wait, in the order in which they are placed."""
+"""Queue of the waiting streams in the order of placement."""
 
 import itertools
 import typing
@@ -7,7 +7,7 @@
 
 from limpetroute.routing import waiting_stream
 
-# First parts of the keys by which streams are sorted.
+# First element of the sort keys.
 RESUMED = 0
 IN_TIME = 1
 LATE = 2
@@ -16,12 +16,12 @@
 
 
 class WaitingQueue:
-    """The streams that wait, in the order in which they are placed.
+    """Queue of the waiting streams in the order of placement.
 
-    Begun streams go first: one is lost with all that was written for it
-    unless it is resumed soon. Then come those that can still make their
-    target, earliest target first, and of these first the ones that may be
-    sent only once, as their callers can't come back. Late ones follow.
+    Resumed streams go first: if such a stream is not resumed soon, all that
+    was written for it is lost. Then come streams that can still meet their
+    target, earliest target first. Among these, streams that may be sent only
+    once go first, because their callers cannot retry. Late streams follow.
     """
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         return request_id in self._streams
 
     def add(self, stream: waiting_stream.WaitingStream, in_time: bool) -> None:
-        """Add a stream, which can make its target or not."""
+        """Add a stream, with whether it can meet its target."""
         self.remove(stream.request_id)
         request = stream.request
         number = next(self._numbers)
@@ -56,12 +56,12 @@
         self._order[key] = stream
 
     def remove(self, request_id: str) -> None:
-        """Forget a stream, if it is known."""
+        """Remove a stream if it is present."""
         if self._streams.pop(request_id, None) is not None:
             del self._order[self._keys.pop(request_id)]
 
     def sort(self, in_time: CanMeetTarget) -> None:
-        """Move streams that are late by now, or in time again."""
+        """Move streams that became late, or can meet their target again."""
         for stream in list(self._order.values()):
             if stream.request.goes_on:
                 continue
@@ -78,7 +78,7 @@
         Parameters
         ----------
         late_first : bool
-            Whether one late stream goes before those that are in time.
+            Whether one late stream goes before those that meet their target.
         """
         ordered = list(self._order.values())
         if not late_first:
--- a/limpetroute/routing/waiting_stream.py
+++ b/limpetroute/routing/waiting_stream.py
@@ -12,21 +12,22 @@
 
     Parameters
     ----------
-    ask : PlacementRequest
-        What it asked for.
+    request : PlacementRequest
+        Its request.
     sent_s : float
-        When its caller sent it, or got its last event.
+        When the caller sent the request or received its last event.
     first_sent_s : float
-        When its caller sent it for the first time.
+        When the caller sent this prompt for the first time.
     tokens : int
-        Tokens that a runner reads before it writes.
-    is_known : bool
-        Whether it was looked at before.
+        Number of tokens to prefill.
+    is_examined : bool
+        Whether the stream was checked before.
     fits_nowhere : bool
-        Whether no decode runner had room for it. It is offered only to
-        runners that a stream has left since.
-    counts_ahead : bool
-        Whether those behind it wait for its turn too.
+        Whether no decode runner had free capacity at the last check. Until the
+        next full pass, the stream is offered only to runners where another
+        stream has ended.
+    counts_in_queue : bool
+        Whether streams behind this one have to wait for its placement.
     """
 
     request: placement.PlacementRequest
@@ -39,29 +40,30 @@
 
     @property
     def request_id(self) -> str:
-        """Names the stream."""
+        """Identifies the stream."""
         return self.request.request_id
 
     @property
     def due_s(self) -> float:
-        """When its first event is due."""
+        """When the first event must come to meet the target."""
         return self.first_sent_s + self.request.target_s
 
     @property
     def max_wait_s(self) -> float:
-        """How long after `sent_s` a place is still worth giving."""
+        """Longest time after `sent_s` at which a placement is still useful."""
         return stream_times.max_wait_s(self.request)
 
     def meets_targets(self, first_event_s: float) -> bool:
-        """Return whether it meets its targets with a first event then.
+        """Return whether a first event at a time meets the stream's targets.
 
-        The pause before a resumed stream's next event has missed them.
+        A resumed stream has already missed them through the gap before its
+        next event.
         """
         return not self.request.goes_on and first_event_s <= self.due_s
 
     def can_meet_target(self, at_s: float, needed_s: float) -> bool:
-        """Return whether a place given then makes its target.
+        """Return whether a placement at a time can meet the target.
 
-        ``needed_s`` is the time from a place to the first event.
+        ``needed_s`` is the time from the placement to the first event.
         """
         return at_s + needed_s <= self.due_s
