--- a/limpetroute/routing/memory_forecast.py
+++ b/limpetroute/routing/memory_forecast.py
@@ -60,12 +60,12 @@
     the middle of its answer. The total grows until a stream ends, so only the
     end times have to be evaluated.
     """
-    most = sum(one.tokens_at(now_s) for one in streams)
+    peak = sum(one.tokens_at(now_s) for one in streams)
     ends_s = [one.ends_s(now_s) for one in streams]
     for at_s in ends_s:
         total = 0.0
         for one, end_s in zip(streams, ends_s, strict=True):
             if end_s >= at_s:
                 total += one.tokens_at(at_s)
-        most = max(most, total)
-    return most
+        peak = max(peak, total)
+    return peak
--- a/limpetroute/routing/memory_profile.py
+++ b/limpetroute/routing/memory_profile.py
@@ -59,7 +59,7 @@
         expected to end before that.
         """
         end_s = max(now_s, stream.ends_s(now_s))
-        most = max(
+        peak = max(
             stream.tokens_at(end_s),
             self.first_peak_tokens + stream.prompt_tokens,
         )
@@ -68,14 +68,14 @@
             others = sum(
                 one.tokens_at(end_s) for one in self._streams[position:]
             )
-            most = max(most, stream.tokens_at(end_s) + others)
+            peak = max(peak, stream.tokens_at(end_s) + others)
         for index, at_s in enumerate(self.ends_s):
             total = self._totals[index]
             if at_s <= end_s:
                 total += stream.tokens_at(at_s)
-            if total > most:
-                most = total
-        return most
+            if total > peak:
+                peak = total
+        return peak
 
     def _totals_at_ends(self, now_s: float) -> list[float]:
         """Return the memory that is taken at each end.
--- a/limpetroute/routing/pool_sizing.py
+++ b/limpetroute/routing/pool_sizing.py
@@ -66,30 +66,30 @@
     by_prefill_runners = (
         prefill_runners * PREFILL_UTILIZATION / rates.prefill_s
     )
-    use = 0.0
+    max_busy = 0.0
     if prefill_pause.is_pace_sufficient(rates.pace_beside_prefill):
-        use = PREFILL_UTILIZATION
-    places = decode_runners * concurrent_streams(engine, rates)
+        max_busy = PREFILL_UTILIZATION
+    max_streams = decode_runners * concurrent_streams(engine, rates)
     begin_s = rates.prefill_s + stream_times.FIRST_EVENT_OVERHEAD_S
-    least = 0.0
-    most = places / (begin_s + rates.decode_s)
+    low = 0.0
+    high = max_streams / (begin_s + rates.decode_s)
     for _ in range(HALVINGS):
-        tried = (least + most) / 2
+        tried = (low + high) / 2
         by_each_decode_runner = (
             max(0.0, tried - by_prefill_runners) / decode_runners
         )
         busy = by_each_decode_runner * rates.self_prefill_s
         pace = 1 - busy * (1 - rates.pace_beside_prefill)
         fits = (
-            busy <= use
+            busy <= max_busy
             and pace > 0
-            and tried * (begin_s + rates.decode_s / pace) <= places
+            and tried * (begin_s + rates.decode_s / pace) <= max_streams
         )
         if fits:
-            least = tried
+            low = tried
         else:
-            most = tried
-    return least
+            high = tried
+    return low
 
 
 def target_prefill_count(
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -284,13 +284,13 @@
             for one in self._waiting.in_order():
                 one.fits_nowhere = False
         self._estimate.refresh(len(self._waiting), now_s, full=full)
-        answers: list[PlacementResult] = []
-        answers.extend(self._place_waiting(now_s))
+        results: list[PlacementResult] = []
+        results.extend(self._place_waiting(now_s))
         if full or self._has_new:
             self._estimate.refresh(len(self._waiting), now_s, full=full)
-            answers.extend(self._reject_hopeless(now_s, full=full))
+            results.extend(self._reject_hopeless(now_s, full=full))
             self._has_new = False
-        return answers
+        return results
 
     def _drop(self, request_id: str) -> None:
         attempt = self._reservations.drop(request_id)
@@ -312,7 +312,7 @@
     def _place_waiting(self, now_s: float) -> list[placement.Placement]:
         self._fleet.update(now_s)
         freed = self._fleet.by_free_memory(self._reservations.take_freed())
-        most_checks = self._decode_placement.fit_checks + MAX_FIT_CHECKS
+        max_checks = self._decode_placement.fit_checks + MAX_FIT_CHECKS
         choice = runner_choice.RunnerChoice(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
@@ -332,7 +332,7 @@
                 if waited_s <= HEAD_OF_LINE_TIMEOUT_S:
                     continue
                 chosen = None
-            elif self._decode_placement.fit_checks > most_checks:
+            elif self._decode_placement.fit_checks > max_checks:
                 self._unfinished = True
                 break
             else:
--- a/tests/routing/full_fleet.py
+++ b/tests/routing/full_fleet.py
@@ -27,11 +27,11 @@
             builders.make_runner(f'd{n}')
             for n in range(runners - prefill_runners)
         ]
-        self.held = []
-        self.asked = 0
+        self.placed_ids = []
+        self.request_count = 0
         for number, runner in enumerate(self.runners[prefill_runners:]):
             for n in range(6):
-                self._adopt(f'h{number}-{n}', runner.runner_id)
+                self._restore(f'h{number}-{n}', runner.runner_id)
         self.now_s = 1.0
         while self.scheduler.waiting < waiting:
             self.submit()
@@ -39,8 +39,8 @@
         self.now_s += 0.01
         assert self.scheduler.waiting == waiting
 
-    def _adopt(self, name, decode_id):
-        self.held.append(name)
+    def _restore(self, name, decode_id):
+        self.placed_ids.append(name)
         self.scheduler.restore(
             placement.Placement(
                 request_id=name, decode_id=decode_id, prefill_id=''
@@ -61,12 +61,12 @@
         )
 
     def submit(self):
-        self.asked += 1
-        self.scheduler.submit(self._request(f's{self.asked}'), self.now_s)
+        self.request_count += 1
+        self.scheduler.submit(self._request(f's{self.request_count}'), self.now_s)
 
-    def end(self):
+    def release(self):
         end = placement.Release(
-            request_id=self.held.pop(0),
+            request_id=self.placed_ids.pop(0),
             output_tokens=550,
             decode_s=3.4,
             whole=True,
@@ -79,6 +79,6 @@
             one for one in answers if isinstance(one, placement.Placement)
         ]
         for one in placed:
-            self.held.append(one.request_id)
+            self.placed_ids.append(one.request_id)
             self.scheduler.note_prefill_done(one.request_id, 0, self.now_s)
         return answers
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -32,21 +32,21 @@
 
 # Guards against callers that are told a time at which they are refused
 # again, as most before them were.
-def test_who_will_not_be_served_is_not_told_to_come_back_in_vain():
+def test_callers_unlikely_to_be_placed_are_not_told_to_retry():
     admitted = admission.Admission()
     come_back(admitted, refused=9, served=1)
     got = admitted.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
     assert got.retry_after_s >= PATIENCE_S
 
 
-def test_who_may_be_served_is_told_when():
+def test_callers_likely_to_be_placed_get_a_short_delay():
     admitted = admission.Admission()
     come_back(admitted, refused=4, served=6)
     got = admitted.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
     assert got.retry_after_s <= PATIENCE_S / 3
 
 
-def test_what_became_of_callers_is_forgotten():
+def test_old_outcomes_expire():
     admitted = admission.Admission()
     come_back(admitted, refused=9, served=1)
     got = admitted.reject(make_stream('new', 20.0, 20.0), 20.5, 20.0)
--- a/tests/routing/test_decode_placement.py
+++ b/tests/routing/test_decode_placement.py
@@ -106,7 +106,7 @@
         placing.take(request, found)
 
 
-def test_a_full_fleet_is_not_looked_at_runner_by_runner():
+def test_a_full_fleet_is_not_checked_runner_by_runner():
     """Each waiting stream was worked out for every runner on every event."""
     placing = Placing(1)
     while True:
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -35,7 +35,7 @@
         return self.fleet.refresh(self.runners, changing, now_s)
 
 
-def test_runners_are_left_out_and_taken_back_as_they_fail():
+def test_failing_runners_are_ejected_and_readmitted():
     """A runner that is left out for good, or never, loses its streams."""
     rng = random.Random(5)
     known = Known(8)
--- a/tests/routing/test_length_estimate.py
+++ b/tests/routing/test_length_estimate.py
@@ -53,7 +53,7 @@
     assert corrected < 0.1
 
 
-def test_before_anything_is_known_an_estimate_is_believed():
+def test_estimates_are_used_unchanged_before_any_answer():
     estimate = length_estimate.LengthEstimate()
     assert estimate.tokens(estimated_tokens=500, most_tokens=MOST) == 500
     estimate.learn(estimated_tokens=0, actual_tokens=70)
@@ -66,7 +66,7 @@
     assert estimate.tokens(estimated_tokens=9000, most_tokens=400) == 400
 
 
-def test_equal_estimates_say_nothing_and_break_nothing():
+def test_identical_estimates_still_give_the_mean_length():
     """Callers that give none are taken to say the most, all alike."""
     estimate = length_estimate.LengthEstimate()
     for _ in range(200):
--- a/tests/routing/test_local_placement.py
+++ b/tests/routing/test_local_placement.py
@@ -5,7 +5,7 @@
 from tests.routing import builders
 
 
-def test_a_host_alone_has_no_long_prompt_read_by_a_writer():
+def test_a_host_without_a_leader_sends_no_long_prompt_to_a_decode_runner():
     """The leader and the last reader are gone in the same second.
 
     Each of seven entry hosts sees its own streams only. One of them sends
@@ -19,12 +19,12 @@
     assert may(short, entry_hosts=7)
 
 
-def test_the_only_host_knows_what_its_writer_has_to_do():
+def test_the_only_host_may_send_a_long_prompt_to_a_decode_runner():
     long = builders.make_request('long', prompt_tokens=8400)
     assert local_placement.may_self_prefill_locally(long, entry_hosts=1)
 
 
-def test_what_was_written_before_is_read_too():
+def test_written_tokens_count_as_prefill():
     begun = builders.make_request(
         'begun', prompt_tokens=3000, written_tokens=4000, goes_on=True
     )
@@ -46,7 +46,7 @@
 
 # Guards against streams that hosts without a leader send to a runner which
 # they were told to be full a moment before.
-def test_a_runner_that_was_full_a_moment_ago_is_left_alone():
+def test_a_runner_that_was_full_a_moment_ago_is_not_chosen():
     load = runner_load.RunnerLoad()
     load.note_all_streams(builders.ENGINE.slots, 10.0)
     assert choose(load, 11.0) is None
--- a/tests/routing/test_memory_forecast.py
+++ b/tests/routing/test_memory_forecast.py
@@ -35,7 +35,7 @@
     assert memory_forecast.peak_tokens(streams, 0.0) == 40_000
 
 
-def test_one_that_went_beyond_its_estimate_goes_on_growing():
+def test_a_stream_beyond_its_estimate_keeps_growing():
     now_s = 7.0
     stream = _stream(0.0)
     assert stream.tokens_at(now_s) == 12_000
@@ -43,5 +43,5 @@
     assert stream.ends_s(now_s) > now_s
 
 
-def test_nothing_takes_nothing():
+def test_no_streams_take_no_memory():
     assert memory_forecast.peak_tokens([], 0.0) == 0
--- a/tests/routing/test_memory_headroom.py
+++ b/tests/routing/test_memory_headroom.py
@@ -26,7 +26,7 @@
     assert reserved_share(52_113, 9, 200) < 0.04
 
 
-def test_some_is_always_free_and_most_is_never_kept():
+def test_the_reserved_share_is_bounded():
     least, most = (
         memory_headroom.MIN_RESERVED_SHARE,
         memory_headroom.MAX_RESERVED_SHARE,
--- a/tests/routing/test_memory_profile.py
+++ b/tests/routing/test_memory_profile.py
@@ -23,7 +23,7 @@
     streams=st.lists(forecasts, max_size=16),
     another=forecasts,
 )
-def test_a_profile_tells_the_peak_with_another_stream(streams, another):
+def test_a_profile_gives_the_peak_with_another_stream(streams, another):
     profile = memory_profile.MemoryProfile(streams, NOW_S)
     expected = max(
         memory_forecast.peak_tokens([*streams, another], NOW_S),
@@ -33,14 +33,14 @@
 
 
 @hypothesis.given(streams=st.lists(forecasts, min_size=1, max_size=16))
-def test_what_is_taken_first_is_what_all_streams_take_then(streams):
+def test_the_first_peak_is_the_sum_over_all_streams(streams):
     profile = memory_profile.MemoryProfile(streams, NOW_S)
     first_s = profile.ends_s[0]
     taken = sum(one.tokens_at(first_s) for one in streams)
     assert profile.first_peak_tokens == pytest.approx(taken)
 
 
-def test_a_profile_is_fresh_until_its_first_stream_should_have_ended():
+def test_a_profile_is_valid_until_its_first_expected_end():
     stream = memory_forecast.MemoryForecast(
         prompt_tokens=100,
         output_tokens=1000,
--- a/tests/routing/test_moving_mean.py
+++ b/tests/routing/test_moving_mean.py
@@ -3,11 +3,11 @@
 from limpetroute.routing import moving_mean
 
 
-def test_the_first_guess_holds_until_something_came():
+def test_the_initial_guess_holds_until_the_first_value():
     assert moving_mean.MovingMean(5000.0).mean == 5000.0
 
 
-def test_a_few_that_are_far_off_say_little():
+def test_a_few_outliers_change_the_mean_little():
     """The first three callers of a day expect short answers."""
     size = moving_mean.MovingMean(5000.0)
     for _ in range(3):
@@ -15,14 +15,14 @@
     assert size.mean > 4000
 
 
-def test_a_first_guess_that_is_wrong_is_forgotten():
+def test_a_wrong_initial_guess_fades():
     size = moving_mean.MovingMean(5000.0)
     for _ in range(100):
         size.note(600.0)
     assert size.mean < 1000
 
 
-def test_it_follows_a_change_within_a_hundred():
+def test_the_mean_follows_a_change_within_a_hundred_values():
     size = moving_mean.MovingMean(0.0)
     for _ in range(500):
         size.note(100.0)
--- a/tests/routing/test_pool_sizing.py
+++ b/tests/routing/test_pool_sizing.py
@@ -57,7 +57,7 @@
     ('runners', 'prefill_runners'),
     [(0, 0), (1, 0), (2, 1), (3, 1), (4, 1), (6, 2), (11, 3), (24, 7)],
 )
-def test_wanted_readers_of_long_answers(runners, prefill_runners):
+def test_target_prefill_count_for_long_answers(runners, prefill_runners):
     got = pool_sizing.target_prefill_count(
         runners, builders.ENGINE, LONG_ANSWERS
     )
@@ -68,7 +68,7 @@
     ('runners', 'prefill_runners'),
     [(1, 0), (2, 0), (3, 1), (5, 2), (7, 3), (9, 3), (45, 16)],
 )
-def test_wanted_readers_of_short_answers(runners, prefill_runners):
+def test_target_prefill_count_for_short_answers(runners, prefill_runners):
     """Nine runners read prompts of 5,100 tokens and write for 3 s.
 
     With the split that suits long answers, two of nine read and one of
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize('prefill_runners', [0, 1, 2, 3])
-def test_writers_that_read_well_need_no_change(prefill_runners):
+def test_decode_runners_that_prefill_well_need_no_change(prefill_runners):
     """Two of nine runners are lost, two of them readers.
 
     Writers read what the readers cannot, and let in as many streams. An
@@ -185,7 +185,7 @@
     assert settle(dict(stages), engine=WIDE, rates=SHORT_ANSWERS) == stages
 
 
-def test_readers_that_hold_no_streams_write_where_memory_is_short():
+def test_prefill_runners_change_to_decode_if_memory_is_short():
     stages = {f'r{n}': builders.PREFILL for n in range(6)}
     stages |= {f'r{n}': builders.DECODE for n in range(6, 9)}
     after = settle(stages, engine=WIDE, rates=SHORT_ANSWERS)
@@ -244,7 +244,7 @@
     assert len(changing) == len(set(changing)) == 4
 
 
-def test_one_reader_too_many_becomes_a_writer():
+def test_a_surplus_prefill_runner_changes_to_decode():
     runners = [
         builders.make_runner('a', builders.PREFILL),
         builders.make_runner('b', builders.PREFILL),
@@ -255,19 +255,19 @@
     assert change.stage is builders.DECODE
 
 
-def test_the_last_runner_of_all_writes():
+def test_the_only_runner_decodes():
     runners = [builders.make_runner('a', builders.PREFILL)]
     change = next_change(runners)
     assert change.stage is builders.DECODE
 
 
-def test_a_reader_is_made_where_there_is_none():
+def test_a_pool_without_a_prefill_runner_gets_one():
     runners = [builders.make_runner(name) for name in 'abc']
     change = next_change(runners)
     assert change.stage is builders.PREFILL
 
 
-def test_a_reader_that_leaves_does_not_count():
+def test_a_leaving_prefill_runner_does_not_count():
     runners = [
         builders.make_runner('a', builders.PREFILL, ready=False),
         builders.make_runner('b'),
@@ -282,7 +282,7 @@
     assert next_change(runners, ['b']) is None
 
 
-def test_two_runners_with_little_memory_both_write():
+def test_two_runners_with_little_memory_both_decode():
     """Two of four runners leave in the middle of a day.
 
     One of the two that were left read prompts and held no stream, and
@@ -300,12 +300,12 @@
     assert next_change(left) is None
 
 
-def test_three_runners_with_little_memory_keep_their_reader():
+def test_three_runners_with_little_memory_keep_a_prefill_runner():
     assert pool_sizing.target_prefill_count(3, SMALL, LONG_ANSWERS) == 1
 
 
 @pytest.mark.parametrize('count', range(1, 30))
-def test_changes_come_to_rest(count):
+def test_changes_converge(count):
     """Orders that undo each other would keep runners away for ever."""
     stages = {f'r{n:02}': builders.PREFILL for n in range(count)}
     for _ in range(count + 1):
--- a/tests/routing/test_prefill_pause.py
+++ b/tests/routing/test_prefill_pause.py
@@ -14,7 +14,7 @@
     return prefill_pause.is_too_long(pause_s, LIMIT_S)
 
 
-def test_where_events_are_long_prompts_up_to_a_fifth_of_a_second_are_read():
+def test_with_long_events_prefills_up_to_a_fifth_of_a_second_are_allowed():
     """Measured: 6,500 tokens hold streams up for 325 ms.
 
     At 25,000 tokens a second, 5,500 tokens are read within the limit.
@@ -25,7 +25,7 @@
     assert is_too_long(6500 / 25_000, event_s=0.05, pace_beside=pace)
 
 
-def test_where_events_are_short_any_prompt_may_be_read():
+def test_with_short_events_any_prefill_is_allowed():
     """An event has eight tokens: a prompt is read over many events.
 
     Prompts over 5,500 tokens were refused by a runner that would have
@@ -36,5 +36,5 @@
     assert not is_too_long(math.inf, event_s=8 / 170, pace_beside=pace)
 
 
-def test_where_events_take_as_long_as_they_may_nothing_is_read_beside():
+def test_with_events_at_the_gap_limit_no_prefill_is_allowed():
     assert is_too_long(0.001, event_s=0.3, pace_beside=0.5)
--- a/tests/routing/test_prefill_queue.py
+++ b/tests/routing/test_prefill_queue.py
@@ -39,7 +39,7 @@
 
 
 # Guards against the same through a prompt that waits behind such ones.
-def test_a_prompt_behind_cached_ones_says_nothing_either():
+def test_a_prompt_queued_behind_cached_ones_is_not_measured():
     queue = make_queue()
     prefill(queue, 'first', 0.12, 0.0, prompt_id='known')
     before = queue.tokens_per_s
--- a/tests/routing/test_recent_samples.py
+++ b/tests/routing/test_recent_samples.py
@@ -12,15 +12,15 @@
 
 
 # Guards against the first samples after a start, all of one odd moment.
-def test_a_few_samples_leave_the_first_guess():
+def test_a_few_samples_leave_the_initial_guess():
     assert middle(FAST * 3, FAST * 3, FAST * 3) == GUESS
 
 
 # Guards against a busy moment that makes a runner seem slow, whereupon it
 # is left less and less to read.
-def test_samples_that_waited_do_not_count():
+def test_a_few_slow_samples_do_not_move_the_median():
     assert middle(*[FAST] * 10, *[FAST / 5] * 6) == FAST
 
 
-def test_what_has_changed_is_found():
+def test_a_lasting_change_moves_the_median():
     assert middle(*[FAST] * 16, *[FAST / 2] * 9) == FAST / 2
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -15,7 +15,7 @@
     )
 
 
-def test_what_is_kept_by_runner_agrees_with_what_is_reserved():
+def test_counts_per_runner_match_the_reservations():
     """A count that is off fills a runner, or keeps it empty, for good."""
     rng = random.Random(4)
     reserved = reservations.Reservations(engine=builders.ENGINE)
@@ -39,26 +39,32 @@
             gone = f'd{rng.randrange(6)}'
             reserved.reset_runner(gone)
             here = {
-                name: held
-                for name, held in here.items()
-                if held[0].decode_id != gone
+                name: reserved
+                for name, reserved in here.items()
+                if reserved[0].decode_id != gone
             }
         reserved.expire(now_s)
-        here = {name: held for name, held in here.items() if held[1] >= now_s}
+        here = {
+            name: reserved
+            for name, reserved in here.items()
+            if reserved[1] >= now_s
+        }
         assert len(reserved) == len(here)
         ends_s = reserved.next_ends_s(1000, now_s)
         assert len(ends_s) == len(here)
         assert all(end_s >= now_s for end_s in ends_s)
         assert ends_s == sorted(ends_s)
         for n in range(6):
-            count = sum(held[0].decode_id == f'd{n}' for held in here.values())
+            count = sum(
+                reserved[0].decode_id == f'd{n}' for reserved in here.values()
+            )
             assert reserved.stream_count(f'd{n}') == count
             profile = reserved.profile(f'd{n}', now_s)
             assert len(profile.ends_s) == count
         assert reserved.uses('p') == len(here)
 
 
-def test_runners_that_a_stream_left_are_told_once():
+def test_freed_runners_are_returned_once():
     reserved = reservations.Reservations(engine=builders.ENGINE)
     request = builders.make_request('s')
     reserved.add(make_place('s', 'd1'), request, sent_s=0.0, begins_s=0.0)
@@ -71,16 +77,16 @@
 
 # Guards against pauses that are planned by the pace of faster runners.
 def test_a_slower_runner_is_found_by_its_own_streams():
-    held = reservations.Reservations(engine=builders.ENGINE)
-    usual_s = held.event_s
+    reserved = reservations.Reservations(engine=builders.ENGINE)
+    usual_s = reserved.event_s
     for n in range(12):
         request = builders.make_request(f's{n}')
         placed = placement.Placement(
             request_id=request.request_id, decode_id='slow', prefill_id=''
         )
-        held.add(placed, request, sent_s=0.0, begins_s=0.2)
+        reserved.add(placed, request, sent_s=0.0, begins_s=0.2)
         tokens = 40 * builders.ENGINE.tokens_per_event
-        held.release(
+        reserved.release(
             placement.Release(
                 request_id=request.request_id,
                 output_tokens=tokens,
@@ -88,5 +94,5 @@
                 whole=True,
             )
         )
-    assert held.event_s_at('slow') == pytest.approx(2 * usual_s)
-    assert held.event_s_at('other') == held.event_s < 1.5 * usual_s
+    assert reserved.event_s_at('slow') == pytest.approx(2 * usual_s)
+    assert reserved.event_s_at('other') == reserved.event_s < 1.5 * usual_s
--- a/tests/routing/test_retry_after.py
+++ b/tests/routing/test_retry_after.py
@@ -20,23 +20,23 @@
     )
 
 
-def test_with_places_to_spare_the_next_free_one_is_told():
+def test_with_spare_slots_the_delay_ends_at_the_next_free_slot():
     assert retry_after_s(arrivals=4, releases=12) == 0.4
 
 
-def test_those_told_before_are_let_in_first():
+def test_callers_that_were_rejected_earlier_go_first():
     """Eight places in two seconds are left beside the new streams."""
     assert retry_after_s(
         arrivals=4, releases=12, expected_returns=8
     ) == pytest.approx(2.4)
 
 
-def test_while_new_streams_take_all_places_the_latest_is_told():
+def test_without_spare_slots_the_delay_is_the_longest_honored():
     assert retry_after_s(arrivals=12, releases=12) == pytest.approx(14.0 / 3)
     assert retry_after_s(arrivals=12, releases=12, remaining_s=6.0) == 2.0
 
 
-def test_old_counts_are_forgotten():
+def test_old_counts_expire():
     estimator = retry_after.RetryAfterEstimator()
     for n in range(50):
         estimator.note_arrival(n * 0.01)
--- a/tests/routing/test_scheduler_cost.py
+++ b/tests/routing/test_scheduler_cost.py
@@ -20,7 +20,7 @@
         for _ in range(EVENTS):
             fleet.submit()
             fleet.decide()
-            fleet.end()
+            fleet.release()
             fleet.decide()
             fleet.now_s += 0.001
     return counter.lines / (2 * EVENTS)
--- a/tests/routing/test_shutdown_admission.py
+++ b/tests/routing/test_shutdown_admission.py
@@ -9,7 +9,7 @@
     ('max_tokens', 'remaining_s', 'taken'),
     [(300, 5.0, True), (300, 2.0, False), (800, 5.0, False), (50, 1.2, True)],
 )
-def test_a_stream_that_surely_ends_is_taken(max_tokens, remaining_s, taken):
+def test_a_stream_that_surely_ends_is_accepted(max_tokens, remaining_s, taken):
     """Two of a zone's three hosts stop, and callers reach all three.
 
     Refused, each caller has one try left in the middle of a burst. Taken
--- a/tests/routing/test_stream_scheduler.py
+++ b/tests/routing/test_stream_scheduler.py
@@ -27,7 +27,7 @@
     return fleet
 
 
-class Reader:
+class PrefillRunner:
     """A prefill runner that reads one prompt after the other."""
 
     def __init__(self, scheduler, *, tokens_per_s=50_000.0):
@@ -74,7 +74,7 @@
     scheduler.note_first_event(placed.request_id, 0, now_s - sent_s, now_s)
 
 
-def test_a_stream_gets_a_reader_and_a_writer():
+def test_a_stream_gets_a_prefill_and_a_decode_runner():
     scheduler = make_scheduler()
     scheduler.submit(builders.make_request('s'), 0.0)
     (placed,) = scheduler.decide(make_fleet(), 0.0)
@@ -82,7 +82,7 @@
     assert placed.decode_id in ('d0', 'd1')
 
 
-def test_streams_spread_over_the_writers():
+def test_streams_spread_over_the_decode_runners():
     scheduler = make_scheduler()
     for n in range(10):
         scheduler.submit(builders.make_request(f's{n}'), 0.0)
@@ -93,7 +93,7 @@
     assert taken.count('d0') == taken.count('d1') == 5
 
 
-def test_a_burst_never_fills_a_runner_beyond_its_places():
+def test_a_burst_never_fills_a_runner_beyond_its_slots():
     """Beyond its places a runner refuses, with the prompt read in vain."""
     scheduler = make_scheduler()
     for n in range(60):
@@ -104,7 +104,7 @@
     assert len(given) == 2 * builders.ENGINE.slots
 
 
-def test_memory_binds_before_places():
+def test_memory_limits_a_runner_before_its_slots():
     scheduler = make_scheduler()
     for n in range(60):
         scheduler.submit(
@@ -117,7 +117,7 @@
     assert len(given) < 2 * builders.ENGINE.slots
 
 
-def test_in_overload_most_are_told_at_once():
+def test_in_overload_most_streams_are_rejected_at_once():
     """Waiting for a place that cannot come in time helps nobody."""
     scheduler = make_scheduler()
     for n in range(60):
@@ -125,13 +125,13 @@
             builders.make_request(f's{n}', output_tokens=2000), 0.0
         )
     answers = scheduler.decide(make_fleet(), 0.0)
-    told = rejections(answers)
+    rejected = rejections(answers)
     late_limit = round(24 * stream_scheduler.LATE_WAITING_SHARE)
-    assert len(told) == 60 - 24 - late_limit
-    assert all(one.retry_after_s >= 0.3 for one in told)
+    assert len(rejected) == 60 - 24 - late_limit
+    assert all(one.retry_after_s >= 0.3 for one in rejected)
 
 
-def test_a_place_that_is_given_back_goes_to_who_waits():
+def test_a_released_slot_goes_to_a_waiting_stream():
     scheduler = make_scheduler()
     for n in range(25):
         scheduler.submit(
@@ -144,7 +144,7 @@
     assert placed.request_id == 's24'
 
 
-def test_a_begun_stream_goes_before_new_ones():
+def test_a_resumed_stream_goes_before_new_ones():
     """Refused, it would be lost with all that was written for it."""
     scheduler = make_scheduler()
     for n in range(24):
@@ -161,13 +161,13 @@
     assert placed.request_id == 'begun'
 
 
-def test_late_ones_are_served_now_and_then():
+def test_a_late_stream_is_placed_eventually():
     """With new streams always first, one that is late would starve."""
     scheduler = make_scheduler()
     fleet = make_fleet()
     now_s = 0.0
     served = []
-    held = []
+    placed_ids = []
     scheduler.submit(builders.make_request('late', waited_s=0.89), now_s)
     for n in range(200):
         now_s += 0.01
@@ -176,9 +176,11 @@
         )
         for one in placements(scheduler.decide(fleet, now_s)):
             served.append(one.request_id)
-            held.append(one.request_id)
-        if len(held) > 20:
-            scheduler.release(placement.Release(request_id=held.pop(0)), now_s)
+            placed_ids.append(one.request_id)
+        if len(placed_ids) > 20:
+            scheduler.release(
+                placement.Release(request_id=placed_ids.pop(0)), now_s
+            )
     assert 'late' in served
 
 
@@ -188,13 +190,13 @@
     fleet = make_fleet(decode_runners=1)
     rng = random.Random(3)
     now_s = 0.0
-    held = []
+    placed_ids = []
     for n in range(12):
         request = builders.make_request(
             f'h{n}', prompt_tokens=8000, output_tokens=2000
         )
         scheduler.submit(request, now_s)
-    held = [
+    placed_ids = [
         one.request_id for one in placements(scheduler.decide(fleet, now_s))
     ]
     scheduler.submit(
@@ -206,16 +208,16 @@
         now_s += 0.02
         small = builders.make_request(f's{n}', prompt_tokens=900, target_s=3.0)
         scheduler.submit(small, now_s)
-        if held and n % 4 == 0:
-            ended = held.pop(rng.randrange(len(held)))
+        if placed_ids and n % 4 == 0:
+            ended = placed_ids.pop(rng.randrange(len(placed_ids)))
             scheduler.release(placement.Release(request_id=ended), now_s)
         for one in placements(scheduler.decide(fleet, now_s)):
             served.append(one.request_id)
-            held.append(one.request_id)
+            placed_ids.append(one.request_id)
     assert 'large' in served
 
 
-def test_a_dark_runner_gets_one_stream_at_a_time():
+def test_an_unresponsive_runner_gets_one_stream_at_a_time():
     """A runner goes dark while its registration stands.
 
     Each place given there costs a prompt read for nothing and a quarter
@@ -248,7 +250,7 @@
 
 # Guards against a dark runner that passes for sound because callers left
 # while they waited for it, and is then sent all that asks.
-def test_a_caller_that_left_says_nothing_good_of_a_runner():
+def test_a_stream_that_its_caller_gave_up_is_no_success_of_its_runner():
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2)
     for n in range(4):
@@ -266,7 +268,7 @@
     assert [one for one in again if one.decode_id == 'd0'] == []
 
 
-def test_without_its_reader_a_fleet_lets_writers_read():
+def test_without_its_prefill_runner_a_fleet_prefills_on_decode_runners():
     """The only reader is gone for good, and its registration stands.
 
     For want of another reader every prompt went there: each caller was
@@ -279,7 +281,7 @@
     assert not fail_a_place(scheduler, fleet, 's2', 10.5).prefill_id
 
 
-def test_a_stream_that_ends_says_nothing_of_its_reader():
+def test_a_stream_that_ends_is_no_success_of_its_prefill_runner():
     """The reader dies; streams that it read before go on for seconds.
 
     Each one that ended well stood for a sign of its reader, so that it
@@ -297,7 +299,7 @@
     assert not fail_a_place(scheduler, fleet, 's2', 10.5).prefill_id
 
 
-def test_a_reader_that_reads_again_is_given_prompts():
+def test_a_recovered_prefill_runner_is_given_prompts():
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2, prefill_runners=1)
     for n in range(2):
@@ -310,7 +312,7 @@
         assert fail_a_place(scheduler, fleet, f's{n}', 11.7).prefill_id
 
 
-def test_a_reader_that_failed_once_goes_on_reading():
+def test_a_prefill_runner_that_failed_once_is_still_used():
     """One reset is chance; writers that read pause their streams."""
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2, prefill_runners=1)
@@ -321,7 +323,7 @@
     assert fail_a_place(scheduler, fleet, 's3', 10.1).prefill_id
 
 
-def test_a_runner_filled_by_others_is_left_alone_for_a_while():
+def test_a_runner_filled_by_unseen_hosts_is_skipped_for_a_while():
     """Hosts cut off from the leader fill a runner, unseen here."""
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=1)
@@ -335,7 +337,7 @@
     assert placements(scheduler.decide(fleet, 2.0))
 
 
-def test_places_of_a_host_that_died_lapse():
+def test_placements_of_a_dead_host_expire():
     scheduler = make_scheduler()
     for n in range(24):
         request = builders.make_request(
@@ -360,7 +362,7 @@
     assert not placements(scheduler.decide(fleet, 0.1))
 
 
-def test_a_lone_writer_reads_one_prompt_at_a_time():
+def test_a_lone_decode_runner_prefills_one_prompt_at_a_time():
     """Two prompts read at once pause all its streams beyond 300 ms."""
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
@@ -375,7 +377,7 @@
 
 
 # Guards against a second prompt beside one that takes longer than expected.
-def test_a_lone_writer_that_takes_longer_is_waited_for():
+def test_a_lone_decode_runner_with_a_slow_prefill_is_waited_for():
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(2):
@@ -392,7 +394,7 @@
 
 
 # Guards against a runner that is given nothing for want of one message.
-def test_a_lone_writer_of_which_nothing_is_heard_is_given_prompts_again():
+def test_a_lone_decode_runner_without_reports_is_given_prompts_again():
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(2):
@@ -404,13 +406,13 @@
     assert placements(scheduler.decide(fleet, 1.6))
 
 
-def test_with_no_writer_all_are_told_at_once():
+def test_without_decode_runners_streams_are_rejected_at_once():
     scheduler = make_scheduler()
     scheduler.submit(builders.make_request('s'), 0.0)
     assert rejections(scheduler.decide([], 0.0))
 
 
-def test_a_long_prompt_does_not_stop_a_lone_writers_streams():
+def test_a_long_prompt_does_not_stall_a_lone_decode_runners_streams():
     """One runner is left of a pool, and reads prompts itself.
 
     While it reads 11,000 tokens, none of its streams moves for 466 ms:
@@ -448,7 +450,7 @@
     return scheduler, fleet, now_s
 
 
-def test_who_waits_for_a_quiet_writer_keeps_no_place_from_others():
+def test_a_long_prompt_that_waits_for_its_prefill_reserves_no_capacity():
     """A long prompt waits, and short ones come while there are places.
 
     After a quarter of a second it counted as one for which room is kept:
@@ -467,7 +469,7 @@
     assert placements(scheduler.decide(fleet, now_s))
 
 
-def test_a_long_prompt_that_no_writer_can_read_is_told_at_once():
+def test_a_long_prompt_that_no_runner_can_prefill_is_rejected_at_once():
     """It could be read once all but three streams have ended, in 3 s."""
     scheduler, fleet, now_s = busy_lone_runner()
     scheduler.submit(
@@ -478,7 +480,7 @@
     ] == ['long']
 
 
-def test_a_long_prompt_is_read_by_a_writer_that_has_little_to_do():
+def test_an_idle_decode_runner_prefills_a_long_prompt():
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     scheduler.submit(builders.make_request('long', prompt_tokens=11_000), 0.0)
@@ -501,7 +503,7 @@
 
 # Guards against long prompts that are kept from streams which are late
 # anyway, such as those resumed after an outage.
-def test_a_long_prompt_is_read_beside_streams_that_are_late_already():
+def test_a_long_prompt_is_prefilled_beside_streams_that_are_late():
     scheduler, fleet, now_s = lone_runner_with(6, goes_on=True)
     scheduler.submit(
         builders.make_request('long', prompt_tokens=11_000), now_s
@@ -525,7 +527,7 @@
     assert not placements(scheduler.decide(fleet, now_s))
 
 
-def test_of_equal_writers_the_near_one_is_taken():
+def test_of_equal_decode_runners_the_one_in_the_zone_is_chosen():
     scheduler = make_scheduler()
     fleet = [
         *make_fleet(decode_runners=0),
@@ -541,7 +543,7 @@
     assert taken == {f's{n}': f'd{n % 2}' for n in range(6)}
 
 
-def test_a_near_writer_is_not_filled_while_others_are_free():
+def test_a_runner_in_the_zone_is_not_filled_while_others_are_free():
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=0)
     fleet += [builders.make_runner(f'd{n}', zone=f'z{n}') for n in range(2)]
@@ -551,7 +553,7 @@
     assert 6 <= taken.count('d1') <= 8
 
 
-def test_a_lone_writer_that_reads_is_waited_for_while_it_has_places():
+def test_streams_wait_for_a_lone_decode_runner_that_has_free_slots():
     """One runner is left, with most of its places free.
 
     It reads one prompt at a time. Who comes meanwhile was refused, as
@@ -576,7 +578,7 @@
     assert served == ['s0', 's1', 's2']
 
 
-def test_who_comes_back_does_not_pass_for_new():
+def test_a_retry_does_not_count_as_a_new_stream():
     """A burst is refused and comes back under new ids two seconds later.
 
     Its answers are late whatever happens. Taken for new streams, they
@@ -589,9 +591,9 @@
         request = builders.make_request(f's{n}', prompt_id=f'p{n}')
         scheduler.submit(request, 0.0)
     answers = scheduler.decide(fleet, 0.0)
-    held = [one.request_id for one in placements(answers)]
-    told = [one.request_id for one in rejections(answers)]
-    for name in told:
+    placed_ids = [one.request_id for one in placements(answers)]
+    rejected = [one.request_id for one in rejections(answers)]
+    for name in rejected:
         request = builders.make_request(
             f'again-{name}', prompt_id=f'p{name[1:]}'
         )
@@ -599,7 +601,7 @@
     for n in range(6):
         request = builders.make_request(f'new{n}', prompt_id=f'q{n}')
         scheduler.submit(request, 2.0)
-    for name in held[:6]:
+    for name in placed_ids[:6]:
         scheduler.release(placement.Release(request_id=name), 2.0)
     given = [
         one.request_id for one in placements(scheduler.decide(fleet, 2.0))
@@ -608,7 +610,7 @@
     assert sum(name.startswith('new') for name in given) >= 5
 
 
-def test_who_comes_back_is_let_in_when_there_is_room():
+def test_a_retry_is_placed_when_capacity_is_free():
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=1)
     for n in range(40):
@@ -697,7 +699,7 @@
     assert over < 160
 
 
-def test_a_place_given_back_late_does_not_take_the_next_one():
+def test_a_late_release_does_not_release_the_next_placement():
     """A connect fails; its place is given back and another asked for.
 
     Both calls are on their way at once, on connections of their own.
@@ -722,7 +724,7 @@
     assert scheduler.reservation_count == 0
 
 
-def test_who_asks_again_holds_nothing_meanwhile():
+def test_a_second_request_drops_the_first_placement():
     """The call that gives the first place back may be lost."""
     scheduler = make_scheduler()
     scheduler.submit(builders.make_request('s', attempt=1), 0.0)
@@ -746,7 +748,7 @@
     assert placements(answers)[0].prefill_id == ''
 
 
-def test_a_stream_that_goes_on_is_planned_with_what_it_has_written():
+def test_a_resumed_stream_is_planned_with_its_written_tokens():
     """A runner crashes; its streams go on at the one that is left.
 
     Each reads its prompt and what it had written. Planned by the prompt
@@ -771,7 +773,7 @@
     assert given == 7
 
 
-def test_what_was_written_is_read_too():
+def test_written_tokens_are_prefilled_too():
     """Beside others, a decode runner must not read for long."""
     scheduler = make_scheduler()
     lone = [builders.make_runner('d0')]
@@ -791,7 +793,7 @@
     assert placed.request_id == 'b'
 
 
-def test_a_reader_is_not_given_more_than_it_reads_in_time():
+def test_a_prefill_runner_is_not_given_more_than_it_prefills_in_time():
     """A new leader begins, and a second's streams ask at once.
 
     There are places for all of them, but one reader: the last of them
@@ -803,7 +805,7 @@
     fleet = make_fleet(decode_runners=3, prefill_runners=1)
     for n in range(30):
         scheduler.submit(builders.make_request(f's{n}'), 0.0)
-    prefill_runner = Reader(scheduler)
+    prefill_runner = PrefillRunner(scheduler)
     given, refused = prefill_runner.play(fleet)
     assert prefill_runner.longest_s < 0.5
     # Ten a second are read; the rest cannot be in time and comes back.
@@ -813,17 +815,17 @@
     assert 30 - given - late_limit <= refused <= 30 - given
 
 
-def test_who_waits_for_a_reader_is_not_refused_while_there_is_time():
+def test_a_stream_that_waits_for_a_prefill_is_not_rejected_too_early():
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=3, prefill_runners=1)
     for n in range(6):
         scheduler.submit(builders.make_request(f's{n}'), 0.0)
-    prefill_runner = Reader(scheduler)
+    prefill_runner = PrefillRunner(scheduler)
     given, refused = prefill_runner.play(fleet)
     assert (given, refused) == (6, 0)
 
 
-def test_a_reader_that_is_slower_than_expected_does_not_fall_behind():
+def test_a_slow_prefill_runner_does_not_fall_behind():
     """The only reader is a third slower than most, in a burst.
 
     Worked out from the usual speed, its queue seemed short while it
@@ -832,7 +834,7 @@
     """
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=4, prefill_runners=1)
-    prefill_runner = Reader(scheduler, tokens_per_s=37_000.0)
+    prefill_runner = PrefillRunner(scheduler, tokens_per_s=37_000.0)
     running = []
     for tick in range(200):
         now_s = tick * 0.025
@@ -850,7 +852,7 @@
     assert prefill_runner.longest_s < 0.55
 
 
-def test_prompts_that_wait_for_readers_are_read_by_writers_with_room():
+def test_waiting_prompts_are_prefilled_by_decode_runners_with_capacity():
     """One of two readers is lost while a burst comes.
 
     The other one's queue was full, and every further stream waited for
@@ -866,7 +868,7 @@
     assert len(got) > len(by_writers)
 
 
-def test_a_reader_that_is_sooner_done_is_waited_for():
+def test_a_prefill_runner_that_is_done_sooner_is_waited_for():
     """A prompt is not read at half the speed where that wins nothing."""
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=3, prefill_runners=2)
@@ -877,7 +879,7 @@
     )
 
 
-def test_a_lone_writer_with_much_to_do_does_not_seem_ever_slower():
+def test_waits_on_a_lone_decode_runner_do_not_lower_its_speed():
     """One runner is left and reads prompts beside twelve streams.
 
     Each first event waits for the reading before it. Taken for a slower
@@ -914,7 +916,7 @@
     assert not placements(scheduler.decide(fleet, now_s))
 
 
-def test_where_streams_would_stand_still_prompts_wait_for_their_reader():
+def test_prompts_wait_for_a_prefill_runner_if_streams_would_stall():
     """Events of 65 tokens: each prompt read beside holds them all up.
 
     Read by writers in every burst, prompts made the events of twelve
@@ -929,7 +931,7 @@
     )
 
 
-def test_late_streams_wait_only_for_memory_that_there_is():
+def test_late_streams_wait_only_for_existing_memory():
     """A burst where memory for six streams binds, and 64 slots do not.
 
     A sixth of all slots were ten late streams for each runner that writes
@@ -957,7 +959,7 @@
     )
 
 
-def test_a_lone_writer_that_has_just_become_quiet_is_seen_to_be():
+def test_a_lone_decode_runner_that_just_lost_streams_is_checked_again():
     """Between two full passes a decision rested on the streams before.
 
     A stream had ended since, the look at the fourth last failed, and the
--- a/tests/routing/test_stream_times.py
+++ b/tests/routing/test_stream_times.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize('silence_s', [2.0, 3.6, 8.0])
-def test_a_place_is_given_while_its_caller_can_still_get_an_event(silence_s):
+def test_a_placement_is_useful_while_its_caller_can_get_an_event(silence_s):
     """A service whose callers wait for eight seconds, or for two.
 
     By a time that suits 3.6 s, streams were refused half way, or read
@@ -22,7 +22,7 @@
     assert silence_s - fresh_s < 1.5
 
 
-def test_what_suits_the_usual_stream():
+def test_the_longest_wait_with_the_default_silence():
     assert stream_times.max_wait_s(builders.make_request('a')) == (
         pytest.approx(2.4)
     )
--- a/tests/routing/test_waiting_queue.py
+++ b/tests/routing/test_waiting_queue.py
@@ -25,7 +25,7 @@
     return queue
 
 
-def test_streams_are_in_the_order_of_what_their_callers_lose():
+def test_streams_are_ordered_by_what_their_callers_lose():
     assert names(make_queue()) == [
         'begun',
         'once',
