--- a/limpetroute/agreement/__init__.py
+++ b/limpetroute/agreement/__init__.py
@@ -5,6 +5,7 @@
 replicas; their writes may share one file and one sync.
 """
 
+from limpetroute.agreement.bootstrap import initial_state
 from limpetroute.agreement.effects import Appended
 from limpetroute.agreement.effects import Effects
 from limpetroute.agreement.effects import Refused
@@ -21,7 +22,6 @@
 from limpetroute.agreement.events import Received
 from limpetroute.agreement.events import RemoveMember
 from limpetroute.agreement.events import Tick
-from limpetroute.agreement.founding import found
 from limpetroute.agreement.member import Member
 from limpetroute.agreement.membership import Membership
 from limpetroute.agreement.messages import Envelope
@@ -57,6 +57,6 @@
     'Snapshot',
     'Tick',
     'Timings',
-    'found',
+    'initial_state',
     'next_change',
 ]
--- a/limpetroute/agreement/founding.py
+++ b/limpetroute/agreement/bootstrap.py
@@ -8,7 +8,9 @@
 from limpetroute.agreement import snapshot as snapshot_module
 
 
-def found(replicas: typing.Mapping[str, str]) -> saved_state.SavedState:
+def initial_state(
+    replicas: typing.Mapping[str, str],
+) -> saved_state.SavedState:
     """Return what each of a new group's replicas starts from.
 
     Parameters
--- a/limpetroute/control/data_folder.py
+++ b/limpetroute/control/data_folder.py
@@ -2,7 +2,7 @@
 
 import pathlib
 
-from limpetroute.agreement import founding as founding_module
+from limpetroute.agreement import bootstrap
 from limpetroute.agreement import saved_state
 from limpetroute.agreement import snapshot as snapshot_module
 from limpetroute.control import files as files_module
@@ -118,7 +118,7 @@
         """Return what a group's replica starts from."""
         first = snapshot_module.Snapshot()
         if self.founding is not None:
-            first = founding_module.found(self.founding).snapshot
+            first = bootstrap.initial_state(self.founding).snapshot
         return self.journal.saved(group, first)
 
     def close(self) -> None:
--- a/limpetroute/replay/group_player.py
+++ b/limpetroute/replay/group_player.py
@@ -47,7 +47,7 @@
     def _start(self, *, now_s: float, hosts: list[str], seed: int = 1) -> None:
         self._now_s = now_s
         self._rng = random.Random(seed)
-        saved = agreement.found({host: f'{host}.0' for host in hosts})
+        saved = agreement.initial_state({host: f'{host}.0' for host in hosts})
         for host_id in hosts:
             host = replica_host.ReplicaHost(host_id=host_id, saved=saved)
             self._hosts[host_id] = host
--- a/tests/agreement/cluster.py
+++ b/tests/agreement/cluster.py
@@ -138,7 +138,9 @@
         self.commands = 0
         hosts = [f'c{place}' for place in range(size)]
         founding = hosts[: self.founders]
-        founded = agreement.found({host: f'{host}.0' for host in founding})
+        founded = agreement.initial_state(
+            {host: f'{host}.0' for host in founding}
+        )
         self.nodes = {}
         drift = self.timings.drift
         for host in hosts:
