--- a/limpetroute/agreement/turnover.py
+++ b/limpetroute/agreement/membership_reconciler.py
@@ -12,7 +12,7 @@
 GONE_S = 6.0
 
 
-class Turnover:
+class MembershipReconciler:
     """Keeps a group at its size while hosts come, go and lose disks.
 
     One change at a time, and a voter is removed only for one of three
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -10,11 +10,11 @@
 import xxhash
 
 from limpetroute.agreement import events
+from limpetroute.agreement import membership_reconciler
 from limpetroute.agreement import messages
 from limpetroute.agreement import replacement
 from limpetroute.agreement import replica as replica_module
 from limpetroute.agreement import timings as timings_module
-from limpetroute.agreement import turnover
 from limpetroute.border import control_settings
 from limpetroute.border import peer_batch
 from limpetroute.control import commands
@@ -115,7 +115,7 @@
         self._disk = self._make_disk()
         self.groups: list[group_module.Group] = []
         self._started_s = 0.0
-        self._turnover = turnover.Turnover()
+        self._turnover = membership_reconciler.MembershipReconciler()
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(host_id={self.settings.host_id!r})'
--- a/tests/agreement/seed_cluster.py
+++ b/tests/agreement/seed_cluster.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from limpetroute import agreement
-from limpetroute.agreement import turnover
+from limpetroute.agreement import membership_reconciler
 from tests.agreement import cluster
 
 VOTERS = 5
@@ -22,7 +22,9 @@
             self.timings, min_voters=2, max_voters=VOTERS
         )
         super().start(host)
-        self.turnovers.setdefault(host, turnover.Turnover(gone_s=GONE_S))
+        self.turnovers.setdefault(
+            host, membership_reconciler.MembershipReconciler(gone_s=GONE_S)
+        )
 
     def go_for_good(self, host):
         """A host is gone; an empty one comes at another address."""
--- a/tests/agreement/test_turnover.py
+++ b/tests/agreement/test_turnover.py
@@ -9,7 +9,7 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from limpetroute.agreement import turnover
+from limpetroute.agreement import membership_reconciler
 from tests.agreement import seed_cluster
 from tests.agreement import test_fuzz
 
@@ -77,7 +77,7 @@
     assert f'{away}.0' in cluster.leader().replica.membership.voters
 
 
-class Hasty(turnover.Turnover):
+class Hasty(membership_reconciler.MembershipReconciler):
     """Removes silent voters whether or not another can take the place."""
 
     def _silent(self, replica, wanted_voters, now_s):
