--- a/limpetroute/agreement/replica.py
+++ b/limpetroute/agreement/replica.py
@@ -120,7 +120,7 @@
             return False
         return self.applied_index == self.commit_index
 
-    def in_touch(self, now_s: float) -> bool:
+    def has_active_leader(self, now_s: float) -> bool:
         """Return whether this replica leads, or hears a leader."""
         if self.role is Role.LEADER:
             return self.lease_valid(now_s)
--- a/limpetroute/control/desk.py
+++ b/limpetroute/control/desk.py
@@ -168,7 +168,7 @@
         """
         node = self._node
         group = node.config
-        if not group.replica.in_touch(node.now_s):
+        if not group.replica.has_active_leader(node.now_s):
             return Unsure(reason='out of touch with the group')
         named = await self._named_services()
         if named and service not in named:
--- a/limpetroute/control/manifest_handler.py
+++ b/limpetroute/control/manifest_handler.py
@@ -77,7 +77,7 @@
         group = self.node.config
         newest = group.state.newest
         number = newest.number if newest else 0
-        in_touch = group.replica.in_touch(self.node.now_s)
+        in_touch = group.replica.has_active_leader(self.node.now_s)
         text = newest.text if newest and number > after else 'null'
         self.set_header('Content-Type', 'application/json')
         self.finish(
--- a/limpetroute/control/metrics_part.py
+++ b/limpetroute/control/metrics_part.py
@@ -84,7 +84,7 @@
 
     return {
         'leads': lambda: float(replica().lease_valid(node.now_s)),
-        'in_touch': lambda: float(replica().in_touch(node.now_s)),
+        'in_touch': lambda: float(replica().has_active_leader(node.now_s)),
         'term': lambda: float(replica().term),
         'commit_index': lambda: float(replica().commit_index),
         'voters': lambda: float(len(replica().membership.voters)),
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -518,8 +518,8 @@
 
 def _min_voters(settings: control_settings.ControlSettings) -> int:
     if settings.seeds:
-        # The turnover removes a voter only where all wanted ones are
-        # there; this is the last guard.
+        # The membership reconciler removes a voter only where all wanted
+        # ones are there; this is the last guard.
         return 2
     return (len(settings.peer_urls) + 1) // 2 + 1
 
--- a/limpetroute/control/status.py
+++ b/limpetroute/control/status.py
@@ -48,7 +48,7 @@
         'role': replica.role.value,
         'term': replica.term,
         'leader_host': group.leader_host,
-        'in_touch': replica.in_touch(node.now_s),
+        'in_touch': replica.has_active_leader(node.now_s),
         'commit_index': replica.commit_index,
         'applied_index': replica.applied_index,
         'snapshot_index': replica.log.base_index,
--- a/limpetroute/control/watch_handler.py
+++ b/limpetroute/control/watch_handler.py
@@ -93,7 +93,7 @@
         replica = self.node.config.replica
         if replica.applied_index < replica.commit_index:
             return False
-        return replica.in_touch(self.node.now_s)
+        return replica.has_active_leader(self.node.now_s)
 
     def _leader_url(self) -> str:
         return self.node.url_of(self.node.config.leader_host)
--- a/tests/control/test_control_hosts.py
+++ b/tests/control/test_control_hosts.py
@@ -142,7 +142,7 @@
             await fleet.stop('c3')
             node = fleet.servers['c1'].node
             await fleet.until(
-                lambda: not node.config.replica.in_touch(node.now_s)
+                lambda: not node.config.replica.has_active_leader(node.now_s)
             )
             began_s = time.monotonic()
             got = await fleet.client('c1').ask(
--- a/tests/control/test_desk.py
+++ b/tests/control/test_desk.py
@@ -23,7 +23,7 @@
         self.replica = self
         self.index = 0
 
-    def in_touch(self, now_s):
+    def has_active_leader(self, now_s):
         return True
 
     async def commit(self, command, timeout_s):
