--- a/limpetroute/decisions/admission.py
+++ b/limpetroute/decisions/admission.py
@@ -18,11 +18,11 @@
 
 from limpetroute.decisions import smoothed
 
-MISS_SHARE = 0.02
-STEP_SHARE = 0.03
+TARGET_MISS_SHARE = 0.02
+MARGIN_STEP_SHARE = 0.03
 MAX_MARGIN_SHARE = 0.7
-REFUSED_WEIGHT = 0.25
-STRETCH = 4.0
+REFUSAL_WEIGHT = 0.25
+UNREACHABLE_TARGET_FACTOR = 4.0
 MIN_SLACK_S = 0.01
 BIAS_WEIGHT = 0.05
 MAX_BIAS = 3.0
@@ -30,12 +30,12 @@
 
 
 def limit_s(
-    *, arrived_s: float, first_token_by_s: float, idle_s: float
+    *, arrived_s: float, first_token_by_s: float, idle_first_token_s: float
 ) -> float:
     """Return until when a request may wait for its first token."""
-    if arrived_s + idle_s < first_token_by_s:
+    if arrived_s + idle_first_token_s < first_token_by_s:
         return first_token_by_s
-    return arrived_s + STRETCH * idle_s
+    return arrived_s + UNREACHABLE_TARGET_FACTOR * idle_first_token_s
 
 
 class Margin:
@@ -50,49 +50,49 @@
         """Return the margin for a target that is ``slack_s`` away."""
         return MIN_SLACK_S + self._share * slack_s
 
-    def refused(self) -> None:
+    def record_refusal(self) -> None:
         """Learn from a refusal: less than from one that made it.
 
         Without it a margin that has grown so that nothing is let in
         would never shrink again.
         """
-        step = REFUSED_WEIGHT * STEP_SHARE * MISS_SHARE
+        step = REFUSAL_WEIGHT * MARGIN_STEP_SHARE * TARGET_MISS_SHARE
         self._share = max(0.0, self._share - step)
 
-    def saw(self, *, missed: bool) -> None:
+    def record_outcome(self, *, missed: bool) -> None:
         """Learn from a request that was let in."""
-        step = STEP_SHARE * MISS_SHARE / (1 - MISS_SHARE)
-        change = STEP_SHARE if missed else -step
+        step = MARGIN_STEP_SHARE * TARGET_MISS_SHARE / (1 - TARGET_MISS_SHARE)
+        change = MARGIN_STEP_SHARE if missed else -step
         self._share = min(MAX_MARGIN_SHARE, max(0.0, self._share + change))
 
 
 class WaitBias:
     """Corrects predicted waits by those seen, and says how wrong."""
 
-    __slots__ = ('_bias', 'at_once', 'queued')
+    __slots__ = ('_bias', 'immediate', 'queued')
 
     def __init__(self) -> None:
         self._bias = smoothed.Smoothed(prior=1.0, weight=BIAS_WEIGHT)
-        self.at_once = Margin()
+        self.immediate = Margin()
         self.queued = Margin()
 
-    def margin(self, *, waits: bool) -> Margin:
+    def margin(self, *, is_queued: bool) -> Margin:
         """Return the margin of those that wait, or of the others."""
-        return self.queued if waits else self.at_once
+        return self.queued if is_queued else self.immediate
 
-    def corrected_s(self, wait_s: float) -> float:
+    def corrected_wait_s(self, wait_s: float) -> float:
         """Return a wait as experience corrects it."""
         return wait_s * self._bias.value
 
-    def saw_wait(self, raw_s: float, actual_s: float) -> None:
+    def record_wait(self, predicted_s: float, actual_s: float) -> None:
         """Learn from a request taken from the queue."""
-        if raw_s > MIN_SLACK_S:
-            self._bias.add(min(MAX_BIAS, actual_s / raw_s))
+        if predicted_s > MIN_SLACK_S:
+            self._bias.add(min(MAX_BIAS, actual_s / predicted_s))
 
-    def saw_overdue(self, raw_s: float, waited_s: float) -> None:
+    def record_overdue(self, predicted_s: float, waited_s: float) -> None:
         """Learn from a request given up after it was let in.
 
         Without it only those that made it would be learned from, and
         under saturation they say that all waits are short.
         """
-        self.saw_wait(raw_s, waited_s * OVERDUE_FACTOR)
+        self.record_wait(predicted_s, waited_s * OVERDUE_FACTOR)
--- a/limpetroute/decisions/decode_placement.py
+++ b/limpetroute/decisions/decode_placement.py
@@ -26,19 +26,19 @@
     item: work.Work,
     kv_bytes: int,
     source_zone: str,
-    tried: set[tuple[str, int]],
+    failed_runners: set[tuple[str, int]],
     now_s: float,
 ) -> runner_state.RunnerState | None:
     """Return the best runner with room, or None."""
     best: runner_state.RunnerState | None = None
     best_s = 0.0
     role = runner_facts.Role.DECODE
-    for state in fleet.best(role, item.model, CANDIDATES):
+    for state in fleet.least_loaded(role, item.model, CANDIDATES):
         if state.free_slots < 1:
             break
         if not state.fits(kv_bytes) or state.paused_until_s > now_s:
             continue
-        if (state.runner_id, state.facts.incarnation) in tried:
+        if (state.runner_id, state.facts.incarnation) in failed_runners:
             continue
         capacity = max(1, state.facts.kv_capacity_bytes)
         fullness = max(
@@ -47,8 +47,8 @@
         )
         score_s = FULLNESS_S * fullness
         if transfers is not None:
-            route = (source_zone, state.facts.zone)
-            score_s += transfers.predict_s(route, kv_bytes)
+            link = (source_zone, state.facts.zone)
+            score_s += transfers.predict_s(link, kv_bytes)
         if best is None or score_s < best_s:
             best = state
             best_s = score_s
--- a/limpetroute/decisions/ejection.py
+++ b/limpetroute/decisions/ejection.py
@@ -24,17 +24,17 @@
 from limpetroute.decisions import runner_facts
 from limpetroute.decisions import runner_state
 
-FACTOR = 2.5
+SLOW_FACTOR = 2.5
 MIN_SAMPLES = 3
-OUT_S = 5.0
-MAX_OUT_S = 60.0
-MAX_SHARE = 0.25
+EJECTION_S = 5.0
+MAX_EJECTION_S = 60.0
+MAX_EJECTED_SHARE = 0.25
 MAX_PEERS = 16
-MAX_FAILURES = 3
-FAILED_OUT_S = 1.0
+MAX_CONSECUTIVE_FAILURES = 3
+FAILURE_EJECTION_S = 1.0
 
 
-class Figure(typing.Protocol):
+class Estimate(typing.Protocol):
     """Something learned of a runner; less is better."""
 
     @property
@@ -49,83 +49,93 @@
 class Ejection:
     """Runners that are out, and until when."""
 
-    __slots__ = ('_failures', '_out', '_times')
+    __slots__ = (
+        '_consecutive_failures',
+        '_ejected_until_s',
+        '_ejection_counts',
+    )
 
     def __init__(self) -> None:
-        self._failures: dict[str, int] = {}
-        self._out: dict[str, float] = {}
-        self._times: dict[str, int] = {}
+        self._consecutive_failures: dict[str, int] = {}
+        self._ejected_until_s: dict[str, float] = {}
+        self._ejection_counts: dict[str, int] = {}
 
     @property
-    def out(self) -> frozenset[str]:
+    def ejected(self) -> frozenset[str]:
         """Names of the runners that are out."""
-        return frozenset(self._out)
+        return frozenset(self._ejected_until_s)
 
     @property
     def wake_s(self) -> float | None:
         """When the first of them comes back."""
-        return min(self._out.values(), default=None)
+        return min(self._ejected_until_s.values(), default=None)
 
-    def failed(self, state: runner_state.RunnerState, now_s: float) -> None:
+    def record_failure(
+        self, state: runner_state.RunnerState, now_s: float
+    ) -> None:
         """Count a failure at a runner."""
-        count = self._failures.get(state.runner_id, 0) + 1
-        self._failures[state.runner_id] = count
-        if count < MAX_FAILURES or state.ejected:
+        count = self._consecutive_failures.get(state.runner_id, 0) + 1
+        self._consecutive_failures[state.runner_id] = count
+        if count < MAX_CONSECUTIVE_FAILURES or state.ejected:
             return
-        self._out[state.runner_id] = now_s + FAILED_OUT_S
+        self._ejected_until_s[state.runner_id] = now_s + FAILURE_EJECTION_S
         state.ejected = True
 
-    def worked(self, runner_id: str) -> None:
+    def record_success(self, runner_id: str) -> None:
         """Note that a runner did its part of a request."""
-        self._failures.pop(runner_id, None)
+        self._consecutive_failures.pop(runner_id, None)
 
-    def judge(
+    def evaluate(
         self,
         *,
         fleet: fleet_module.Fleet,
         state: runner_state.RunnerState,
-        figures: typing.Mapping[str, Figure],
+        estimates: typing.Mapping[str, Estimate],
         now_s: float,
     ) -> bool:
         """Compare one runner with a few peers; return whether it is out."""
-        own = figures.get(state.runner_id)
+        own = estimates.get(state.runner_id)
         if own is None or own.count < MIN_SAMPLES or state.ejected:
             return False
         peers = _peers(fleet, state)
-        allowed = max(1, int(MAX_SHARE * (len(peers) + 1)))
+        allowed = max(1, int(MAX_EJECTED_SHARE * (len(peers) + 1)))
         if sum(peer.ejected for peer in peers) >= allowed:
             return False
         values = [
-            figures[peer.runner_id].value
+            estimates[peer.runner_id].value
             for peer in peers
             if not peer.ejected
-            and peer.runner_id in figures
-            and figures[peer.runner_id].count >= MIN_SAMPLES
+            and peer.runner_id in estimates
+            and estimates[peer.runner_id].count >= MIN_SAMPLES
         ]
-        if not values or own.value <= FACTOR * statistics.median(values):
+        if not values or own.value <= SLOW_FACTOR * statistics.median(values):
             return False
-        times = self._times.get(state.runner_id, 0)
-        self._times[state.runner_id] = times + 1
-        out_s = min(MAX_OUT_S, OUT_S * 2**times)
-        self._out[state.runner_id] = now_s + out_s
+        times = self._ejection_counts.get(state.runner_id, 0)
+        self._ejection_counts[state.runner_id] = times + 1
+        out_s = min(MAX_EJECTION_S, EJECTION_S * 2**times)
+        self._ejected_until_s[state.runner_id] = now_s + out_s
         state.ejected = True
         return True
 
-    def probe(self, fleet: fleet_module.Fleet, now_s: float) -> list[str]:
+    def readmit(self, fleet: fleet_module.Fleet, now_s: float) -> list[str]:
         """Let back in those whose time is over, and return them."""
-        back = [name for name, until in self._out.items() if until <= now_s]
+        back = [
+            name
+            for name, until in self._ejected_until_s.items()
+            if until <= now_s
+        ]
         for runner_id in back:
-            del self._out[runner_id]
+            del self._ejected_until_s[runner_id]
             state = fleet.runners.get(runner_id)
             if state is not None:
                 state.ejected = False
         return back
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop a runner that is gone."""
-        self._out.pop(runner_id, None)
-        self._times.pop(runner_id, None)
-        self._failures.pop(runner_id, None)
+        self._ejected_until_s.pop(runner_id, None)
+        self._ejection_counts.pop(runner_id, None)
+        self._consecutive_failures.pop(runner_id, None)
 
 
 def _peers(
@@ -135,6 +145,6 @@
     model = min(state.facts.models, default='')
     return [
         peer
-        for peer in fleet.listed(role, model, MAX_PEERS)
+        for peer in fleet.runners_of(role, model, MAX_PEERS)
         if peer is not state
     ]
--- a/limpetroute/decisions/fair_queue.py
+++ b/limpetroute/decisions/fair_queue.py
@@ -24,10 +24,10 @@
 import itertools
 import typing
 
-SHORT_SHARE = 0.5
+MAX_SHORT_SHARE = 0.5
 PRUNE_EVERY = 256
-MAX_IDLE = 512
-TURNS = 3.0
+MAX_IDLE_TEAMS = 512
+OVER_SHARE_FACTOR = 3.0
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
@@ -43,53 +43,60 @@
     cost_s: float
     due_s: float
     long: bool = False
-    first: bool = False
-    gone: bool = False
+    has_priority: bool = False
+    removed: bool = False
     arrived_s: float = 0.0
 
 
 class _Team:
-    __slots__ = ('backlog_s', 'finish', 'heap', 'live', 'order', 'share')
+    __slots__ = (
+        'backlog_s',
+        'by_arrival',
+        'by_deadline',
+        'finish_time',
+        'queued_count',
+        'share',
+    )
 
     def __init__(self, *, share: float) -> None:
         self.share = share
-        self.finish = 0.0
+        self.finish_time = 0.0
         self.backlog_s = 0.0
-        self.live = 0
-        self.heap: list[tuple[float, int, Queued]] = []
-        self.order: collections.deque[Queued] = collections.deque()
+        self.queued_count = 0
+        self.by_deadline: list[tuple[float, int, Queued]] = []
+        self.by_arrival: collections.deque[Queued] = collections.deque()
 
     def add(self, item: Queued, number: int) -> None:
-        heapq.heappush(self.heap, (item.due_s, number, item))
-        self.order.append(item)
+        heapq.heappush(self.by_deadline, (item.due_s, number, item))
+        self.by_arrival.append(item)
         self.backlog_s += item.cost_s
-        self.live += 1
+        self.queued_count += 1
 
-    def uncount(self, item: Queued) -> None:
-        item.gone = True
-        self.live -= 1
+    def remove(self, item: Queued) -> None:
+        item.removed = True
+        self.queued_count -= 1
         self.backlog_s = max(0.0, self.backlog_s - item.cost_s)
-        if not self.live:
+        if not self.queued_count:
             self.backlog_s = 0.0
-        while self.order and self.order[0].gone:
-            self.order.popleft()
-        while self.order and self.order[-1].gone:
-            self.order.pop()
+        while self.by_arrival and self.by_arrival[0].removed:
+            self.by_arrival.popleft()
+        while self.by_arrival and self.by_arrival[-1].removed:
+            self.by_arrival.pop()
 
 
 class _Lane:
     """Teams in the order of their virtual time."""
 
     __slots__ = (
+        '_by_backlog',
         '_fair',
         '_heap',
-        '_heavy',
-        '_made',
+        '_sequence',
         '_shares',
         '_taken',
-        'busy',
-        'now',
+        'active_teams',
         'teams',
+        'virtual_time',
     )
 
     def __init__(
@@ -98,11 +105,11 @@
         self._shares = shares
         self._fair = fair
         self._heap: list[tuple[float, int, str]] = []
-        self._heavy: list[tuple[float, int, str]] = []
-        self._made = itertools.count()
+        self._by_backlog: list[tuple[float, int, str]] = []
+        self._sequence = itertools.count()
         self._taken = 0
-        self.busy = 0
-        self.now = 0.0
+        self.active_teams = 0
+        self.virtual_time = 0.0
         self.teams: dict[str, _Team] = {}
 
     def add(self, item: Queued) -> None:
@@ -111,13 +118,13 @@
         if team is None:
             team = _Team(share=self._shares.get(name, 1.0))
             self.teams[name] = team
-        idle = not team.heap
-        if not team.live:
-            self.busy += 1
-        team.add(item, next(self._made))
-        self._weigh(name, team)
+        idle = not team.by_deadline
+        if not team.queued_count:
+            self.active_teams += 1
+        team.add(item, next(self._sequence))
+        self._push_backlog(name, team)
         if idle:
-            team.finish = max(team.finish, self.now)
+            team.finish_time = max(team.finish_time, self.virtual_time)
             self._push(name, team)
 
     def set_shares(self, shares: typing.Mapping[str, float]) -> None:
@@ -127,48 +134,48 @@
 
     def remove(self, item: Queued) -> None:
         team = self.teams[item.team if self._fair else '']
-        team.uncount(item)
-        if not team.live:
-            self.busy -= 1
+        team.remove(item)
+        if not team.queued_count:
+            self.active_teams -= 1
 
-    def heaviest(self) -> Queued | None:
+    def newest_of_heaviest_team(self) -> Queued | None:
         """Return the newest of the team with the most queued.
 
         Entries of the heap lag behind as work is taken; one that does
         not hold any more is put back with its present weight.
         """
-        while self._heavy:
-            weight, _, name = self._heavy[0]
+        while self._by_backlog:
+            weight, _, name = self._by_backlog[0]
             team = self.teams.get(name)
-            if team is None or not team.live:
-                heapq.heappop(self._heavy)
+            if team is None or not team.queued_count:
+                heapq.heappop(self._by_backlog)
                 continue
             if -weight > team.backlog_s / team.share + 1e-9:
-                heapq.heappop(self._heavy)
-                self._weigh(name, team)
+                heapq.heappop(self._by_backlog)
+                self._push_backlog(name, team)
                 continue
-            return team.order[-1]
+            return team.by_arrival[-1]
         return None
 
-    def _weigh(self, name: str, team: _Team) -> None:
+    def _push_backlog(self, name: str, team: _Team) -> None:
         weight = -team.backlog_s / team.share
-        heapq.heappush(self._heavy, (weight, next(self._made), name))
-        if len(self._heavy) > 4 * len(self.teams) + 64:
-            self._heavy = [
-                (-team.backlog_s / team.share, next(self._made), name)
+        heapq.heappush(self._by_backlog, (weight, next(self._sequence), name))
+        if len(self._by_backlog) > 4 * len(self.teams) + 64:
+            self._by_backlog = [
+                (-team.backlog_s / team.share, next(self._sequence), name)
                 for name, team in self.teams.items()
-                if team.live
+                if team.queued_count
             ]
-            heapq.heapify(self._heavy)
+            heapq.heapify(self._by_backlog)
 
     def head(self) -> Queued | None:
         while self._heap:
             _, _, name = self._heap[0]
             team = self.teams[name]
-            while team.heap and team.heap[0][2].gone:
-                heapq.heappop(team.heap)
-            if team.heap:
-                return team.heap[0][2]
+            while team.by_deadline and team.by_deadline[0][2].removed:
+                heapq.heappop(team.by_deadline)
+            if team.by_deadline:
+                return team.by_deadline[0][2]
             heapq.heappop(self._heap)
         return None
 
@@ -176,13 +183,15 @@
         """Take the head, which `head` has just shown."""
         start, _, name = heapq.heappop(self._heap)
         team = self.teams[name]
-        _, _, item = heapq.heappop(team.heap)
-        team.uncount(item)
-        if not team.live:
-            self.busy -= 1
-        self.now = max(self.now, start)
-        team.finish = max(team.finish, start) + item.cost_s / team.share
-        if team.heap:
+        _, _, item = heapq.heappop(team.by_deadline)
+        team.remove(item)
+        if not team.queued_count:
+            self.active_teams -= 1
+        self.virtual_time = max(self.virtual_time, start)
+        team.finish_time = (
+            max(team.finish_time, start) + item.cost_s / team.share
+        )
+        if team.by_deadline:
             self._push(name, team)
         self._taken += 1
         if self._taken % PRUNE_EVERY == 0:
@@ -190,29 +199,33 @@
         return item
 
     def _push(self, name: str, team: _Team) -> None:
-        heapq.heappush(self._heap, (team.finish, next(self._made), name))
+        heapq.heappush(
+            self._heap, (team.finish_time, next(self._sequence), name)
+        )
 
     def _prune(self) -> None:
         idle = [
             name
             for name, team in self.teams.items()
-            if not team.heap and team.finish <= self.now
+            if not team.by_deadline and team.finish_time <= self.virtual_time
         ]
         for name in idle:
             del self.teams[name]
-        self._forget_oldest()
+        self._limit_idle_teams()
 
-    def _forget_oldest(self) -> None:
+    def _limit_idle_teams(self) -> None:
         """Bound the idle teams that are remembered for their last turn.
 
         While no work waits the virtual time stands still, so a turn
         never lies behind it, and all 13,000 teams would be kept.
         """
-        idle = [name for name, team in self.teams.items() if not team.heap]
-        if len(idle) <= MAX_IDLE:
+        idle = [
+            name for name, team in self.teams.items() if not team.by_deadline
+        ]
+        if len(idle) <= MAX_IDLE_TEAMS:
             return
-        idle.sort(key=lambda name: self.teams[name].finish)
-        for name in idle[: len(idle) - MAX_IDLE // 2]:
+        idle.sort(key=lambda name: self.teams[name].finish_time)
+        for name in idle[: len(idle) - MAX_IDLE_TEAMS // 2]:
             del self.teams[name]
 
 
@@ -230,15 +243,15 @@
     """
 
     __slots__ = (
-        '_first',
         '_items',
         '_lanes',
         '_long',
+        '_priority',
         '_short',
         '_short_credit_s',
         'backlog_s',
-        'first_backlog_s',
         'long_backlog_s',
+        'priority_backlog_s',
     )
 
     def __init__(
@@ -249,13 +262,13 @@
         lanes: bool = True,
     ) -> None:
         self._lanes = lanes
-        self._first = _Lane(shares=shares, fair=fair)
+        self._priority = _Lane(shares=shares, fair=fair)
         self._short = _Lane(shares=shares, fair=fair)
         self._long = _Lane(shares=shares, fair=fair)
         self._items: dict[str, Queued] = {}
         self._short_credit_s = 0.0
         self.backlog_s = 0.0
-        self.first_backlog_s = 0.0
+        self.priority_backlog_s = 0.0
         self.long_backlog_s = 0.0
 
     def __len__(self) -> int:
@@ -267,7 +280,7 @@
     @property
     def teams(self) -> int:
         """Teams that take memory."""
-        lanes = (self._first, self._short, self._long)
+        lanes = (self._priority, self._short, self._long)
         return sum(len(lane.teams) for lane in lanes)
 
     def add(self, item: Queued) -> None:
@@ -280,11 +293,11 @@
         """
         if item.work_id in self._items:
             raise ValueError(f'{item.work_id!r} is queued already')
-        item.gone = False
+        item.removed = False
         self._items[item.work_id] = item
         self._lane(item).add(item)
-        if item.first:
-            self.first_backlog_s += item.cost_s
+        if item.has_priority:
+            self.priority_backlog_s += item.cost_s
             return
         self.backlog_s += item.cost_s
         if item.long:
@@ -296,12 +309,12 @@
         if item is None:
             return None
         self._lane(item).remove(item)
-        self._gone(item)
+        self._subtract_cost(item)
         return item
 
     def heads(self) -> list[Queued]:
         """Return the next request of each lane, in order of their turn."""
-        first = self._first.head()
+        priority = self._priority.head()
         short = self._short.head()
         long = self._long.head()
         if long is None:
@@ -310,11 +323,11 @@
         if short is not None and long is not None:
             if self._short_credit_s > 0:
                 found.reverse()
-        return found if first is None else [first, *found]
+        return found if priority is None else [priority, *found]
 
     def set_shares(self, shares: typing.Mapping[str, float]) -> None:
         """Take new weights of the teams."""
-        for lane in (self._first, self._short, self._long):
+        for lane in (self._priority, self._short, self._long):
             lane.set_shares(shares)
 
     def take(self, item: Queued) -> None:
@@ -322,28 +335,30 @@
         lane = self._lane(item)
         lane.take()
         del self._items[item.work_id]
-        self._gone(item)
-        if item.first:
+        self._subtract_cost(item)
+        if item.has_priority:
             return
         if item.long:
-            gain = item.cost_s * SHORT_SHARE / (1 - SHORT_SHARE)
+            gain = item.cost_s * MAX_SHORT_SHARE / (1 - MAX_SHORT_SHARE)
             self._short_credit_s -= gain
             return
         self._short_credit_s += item.cost_s
         if self._long.head() is None:
             self._short_credit_s = 0.0
 
-    def is_behind(self, team: str, *, long: bool) -> bool:
+    def is_over_share(self, team: str, *, long: bool) -> bool:
         """Whether a team is several turns over its share."""
         lane = self._long if long and self._lanes else self._short
         known = lane.teams.get(team)
         if known is None or not self._items:
             return False
-        lead_s = max(0.0, known.finish - lane.now)
+        lead_s = max(0.0, known.finish_time - lane.virtual_time)
         mean_s = self.backlog_s / len(self._items)
-        return known.backlog_s / known.share + lead_s > TURNS * mean_s
+        return (
+            known.backlog_s / known.share + lead_s > OVER_SHARE_FACTOR * mean_s
+        )
 
-    def ahead_s(self, team: str, *, long: bool) -> float:
+    def cost_ahead_s(self, team: str, *, long: bool) -> float:
         """Cost that would be served before a new request of a team.
 
         With fair turns a team waits for its own backlog once for each
@@ -356,30 +371,35 @@
         known = lane.teams.get(team)
         own_s = known.backlog_s if known else 0.0
         share = known.share if known else 1.0
-        lead_s = max(0.0, known.finish - lane.now) if known else 0.0
-        active = lane.busy + (not own_s)
+        lead_s = (
+            max(0.0, known.finish_time - lane.virtual_time) if known else 0.0
+        )
+        active = lane.active_teams + (not own_s)
         mean_s = self.backlog_s / max(1, len(self._items))
         fair_s = (own_s / share + lead_s + mean_s) * active
         return min(total, fair_s)
 
-    def heaviest(self) -> Queued | None:
+    def newest_of_heaviest_team(self) -> Queued | None:
         """Return the newest request of the team with the most queued."""
-        return self._long.heaviest() or self._short.heaviest()
+        return (
+            self._long.newest_of_heaviest_team()
+            or self._short.newest_of_heaviest_team()
+        )
 
     def _lane(self, item: Queued) -> _Lane:
-        if item.first:
-            return self._first
+        if item.has_priority:
+            return self._priority
         return self._long if item.long and self._lanes else self._short
 
-    def _gone(self, item: Queued) -> None:
-        if item.first:
-            left_s = self.first_backlog_s - item.cost_s
-            self.first_backlog_s = max(0.0, left_s)
+    def _subtract_cost(self, item: Queued) -> None:
+        if item.has_priority:
+            remaining_s = self.priority_backlog_s - item.cost_s
+            self.priority_backlog_s = max(0.0, remaining_s)
             return
         self.backlog_s = max(0.0, self.backlog_s - item.cost_s)
         if item.long:
             self.long_backlog_s = max(0.0, self.long_backlog_s - item.cost_s)
         if not self._items:
             self.backlog_s = 0.0
-            self.first_backlog_s = 0.0
+            self.priority_backlog_s = 0.0
             self.long_backlog_s = 0.0
--- a/limpetroute/decisions/fleet.py
+++ b/limpetroute/decisions/fleet.py
@@ -14,20 +14,20 @@
 from limpetroute.decisions import runner_facts
 from limpetroute.decisions import runner_state
 
-Key = tuple[runner_facts.Role, str]
-_Place = tuple[float, str]
+_PoolKey = tuple[runner_facts.Role, str]
+_SortKey = tuple[float, str]
 
 
 class Fleet:
     """Keeps runners and hands out the few that are worth a look."""
 
-    __slots__ = ('_lists', '_names', '_places', 'runners')
+    __slots__ = ('_by_id', '_by_load', '_sort_keys', 'runners')
 
     def __init__(self) -> None:
         self.runners: dict[str, runner_state.RunnerState] = {}
-        self._lists: dict[Key, sortedcontainers.SortedList] = {}
-        self._names: dict[Key, sortedcontainers.SortedList] = {}
-        self._places: dict[str, _Place] = {}
+        self._by_load: dict[_PoolKey, sortedcontainers.SortedList] = {}
+        self._by_id: dict[_PoolKey, sortedcontainers.SortedList] = {}
+        self._sort_keys: dict[str, _SortKey] = {}
 
     def __len__(self) -> int:
         return len(self.runners)
@@ -38,41 +38,41 @@
         if old is not None and old.facts == facts:
             return False
         if old is not None:
-            self._unlist(old)
+            self._remove(old)
         if old is not None and old.facts.incarnation == facts.incarnation:
             old.facts = facts
-            self._list(old)
+            self._insert(old)
             return True
         state = runner_state.RunnerState(facts=facts)
         self.runners[facts.runner_id] = state
-        self._list(state)
+        self._insert(state)
         return True
 
     def remove(self, runner_id: str) -> runner_state.RunnerState | None:
         """Forget a runner and return what was known of it."""
         state = self.runners.pop(runner_id, None)
         if state is not None:
-            self._unlist(state)
+            self._remove(state)
         return state
 
-    def moved(self, state: runner_state.RunnerState) -> None:
+    def reorder(self, state: runner_state.RunnerState) -> None:
         """Put a runner where its changed load belongs."""
         runner_id = state.facts.runner_id
-        old = self._places.get(runner_id)
-        new = _place(state)
+        old = self._sort_keys.get(runner_id)
+        new = _sort_key(state)
         if old is None or old == new:
             return
-        self._places[runner_id] = new
+        self._sort_keys[runner_id] = new
         for model in state.facts.models:
-            listed = self._lists[(state.facts.role, model)]
+            listed = self._by_load[(state.facts.role, model)]
             listed.remove(old)
             listed.add(new)
 
-    def best(
+    def least_loaded(
         self, role: runner_facts.Role, model: str, count: int
     ) -> typing.Iterator[runner_state.RunnerState]:
         """Yield up to ``count`` usable runners, least loaded first."""
-        for _, runner_id in self._lists.get((role, model), ()):
+        for _, runner_id in self._by_load.get((role, model), ()):
             if count == 0:
                 return
             state = self.runners[runner_id]
@@ -81,68 +81,70 @@
             count -= 1
             yield state
 
-    def top(
+    def least_loaded_runner(
         self, role: runner_facts.Role, model: str
     ) -> runner_state.RunnerState | None:
         """Return the least loaded usable runner."""
-        for _, runner_id in self._lists.get((role, model), ()):
+        for _, runner_id in self._by_load.get((role, model), ()):
             state = self.runners[runner_id]
             if state.usable:
                 return state
         return None
 
-    def listed(
+    def runners_of(
         self, role: runner_facts.Role, model: str, count: int
     ) -> list[runner_state.RunnerState]:
         """Return up to ``count`` runners of a model, usable or not."""
-        found = self._lists.get((role, model), ())
+        found = self._by_load.get((role, model), ())
         return [
-            self.runners[found[place][1]]
-            for place in range(min(count, len(found)))
+            self.runners[found[sort_key][1]]
+            for sort_key in range(min(count, len(found)))
         ]
 
-    def first(self, role: runner_facts.Role, model: str) -> str | None:
+    def lowest_id(self, role: runner_facts.Role, model: str) -> str | None:
         """Return the same runner on every host: the least name."""
-        names = self._names.get((role, model))
+        names = self._by_id.get((role, model))
         return names[0] if names else None
 
     def count(self, role: runner_facts.Role, model: str) -> int:
         """Count the runners of a model."""
-        return len(self._lists.get((role, model), ()))
+        return len(self._by_load.get((role, model), ()))
 
-    def take_report(
+    def apply_report(
         self, state: runner_state.RunnerState, report: load_report.LoadReport
     ) -> None:
         """Put down to other hosts what the report has beyond our own."""
         if state.facts.role is not runner_facts.Role.DECODE:
             return
-        state.foreign_slots = max(0, report.running - len(state.held))
-        state.foreign_bytes = max(0, report.kv_used_bytes - state.held_bytes)
-        self.moved(state)
-
-    def _list(self, state: runner_state.RunnerState) -> None:
-        place = _place(state)
-        self._places[state.runner_id] = place
+        state.foreign_slots = max(0, report.running - len(state.reservations))
+        state.foreign_bytes = max(
+            0, report.kv_used_bytes - state.reserved_bytes
+        )
+        self.reorder(state)
+
+    def _insert(self, state: runner_state.RunnerState) -> None:
+        sort_key = _sort_key(state)
+        self._sort_keys[state.runner_id] = sort_key
         for model in state.facts.models:
             key = (state.facts.role, model)
-            if key not in self._lists:
-                self._lists[key] = sortedcontainers.SortedList()
-                self._names[key] = sortedcontainers.SortedList()
-            self._lists[key].add(place)
-            self._names[key].add(state.runner_id)
-
-    def _unlist(self, state: runner_state.RunnerState) -> None:
-        place = self._places.pop(state.runner_id)
+            if key not in self._by_load:
+                self._by_load[key] = sortedcontainers.SortedList()
+                self._by_id[key] = sortedcontainers.SortedList()
+            self._by_load[key].add(sort_key)
+            self._by_id[key].add(state.runner_id)
+
+    def _remove(self, state: runner_state.RunnerState) -> None:
+        sort_key = self._sort_keys.pop(state.runner_id)
         for model in state.facts.models:
             key = (state.facts.role, model)
-            self._lists[key].remove(place)
-            self._names[key].remove(state.runner_id)
-            if not self._lists[key]:
-                del self._lists[key]
-                del self._names[key]
+            self._by_load[key].remove(sort_key)
+            self._by_id[key].remove(state.runner_id)
+            if not self._by_load[key]:
+                del self._by_load[key]
+                del self._by_id[key]
 
 
-def _place(state: runner_state.RunnerState) -> _Place:
+def _sort_key(state: runner_state.RunnerState) -> _SortKey:
     if state.facts.role is runner_facts.Role.DECODE:
         return (-state.free_slots, state.runner_id)
-    return (state.outstanding_s, state.runner_id)
+    return (state.outstanding_prefill_s, state.runner_id)
--- a/limpetroute/decisions/forecast.py
+++ b/limpetroute/decisions/forecast.py
@@ -9,7 +9,7 @@
 from limpetroute.decisions import transfer_budget
 from limpetroute.decisions import work
 
-ROOM_CANDIDATES = 6
+CAPACITY_CANDIDATES = 6
 
 
 class Forecast:
@@ -30,12 +30,12 @@
         self._predictor = predictor
         self._transfers = transfers
 
-    def idle_s(self, item: work.Work) -> float:
+    def idle_first_token_s(self, item: work.Work) -> float:
         """Time to the first token on an idle fleet."""
-        read_s = self._predictor.typical_prefill_s(item.prompt_tokens)
-        return read_s + self.after_read_s(item, item.prompt_tokens)
+        prefill_s = self._predictor.typical_prefill_s(item.prompt_tokens)
+        return prefill_s + self.after_prefill_s(item, item.prompt_tokens)
 
-    def read_s(self, item: work.Work, tokens: int, now_s: float) -> float:
+    def prefill_s(self, item: work.Work, tokens: int, now_s: float) -> float:
         """Time to read a prompt where most of it is cached."""
         cached = 0.0
         for runner_id in self._index.holders(item.prefix_blocks)[:1]:
@@ -44,58 +44,62 @@
             )
         return self._predictor.typical_prefill_s(max(1.0, tokens - cached))
 
-    def after_read_s(self, item: work.Work, tokens: int) -> float:
+    def after_prefill_s(self, item: work.Work, tokens: int) -> float:
         """Time for the transfer and the first step."""
-        state = self.decode_example(item.model)
+        state = self.freest_decode_runner(item.model)
         if state is None:
-            return self._predictor.gap_s('')
-        size = tokens * state.facts.kv_bytes_per_token
-        route = (item.zone, state.facts.zone)
-        moved_s = self._transfers.predict_s(route, size)
-        return moved_s + self._predictor.gap_s(state.runner_id)
+            return self._predictor.token_gap_s('')
+        transfer_bytes = tokens * state.facts.kv_bytes_per_token
+        link = (item.zone, state.facts.zone)
+        transfer_s = self._transfers.predict_s(link, transfer_bytes)
+        return transfer_s + self._predictor.token_gap_s(state.runner_id)
 
     def foreign_wait_s(self, model: str) -> float:
         """Wait that other hosts' work adds at a prefill runner."""
         role = runner_facts.Role.PREFILL
-        state = self._fleet.top(role, model)
-        return self._predictor.wait_s(state.runner_id) if state else 0.0
+        state = self._fleet.least_loaded_runner(role, model)
+        return (
+            self._predictor.foreign_wait_s(state.runner_id) if state else 0.0
+        )
 
     def free_in_s(self, model: str, now_s: float) -> float:
         """Time until some prefill runner may get more of our work."""
         role = runner_facts.Role.PREFILL
-        states = self._fleet.best(role, model, ROOM_CANDIDATES)
+        states = self._fleet.least_loaded(role, model, CAPACITY_CANDIDATES)
         return min((state.free_in_s(now_s) for state in states), default=0.0)
 
-    def choice_service_s(
+    def first_token_s(
         self,
         item: work.Work,
         tokens: int,
         choice: prefill_placement.PrefillChoice,
     ) -> float:
         """Time to the first token if started there now."""
-        return choice.done_in_s + self.after_read_s(item, tokens)
+        return choice.prefill_done_in_s + self.after_prefill_s(item, tokens)
 
-    def cost_s(self, item: work.Work, read_s: float) -> float:
+    def cost_s(self, item: work.Work, prefill_s: float) -> float:
         """Time of the whole fleet's bottleneck that a request takes."""
         model = item.model
         prefills = self._fleet.count(runner_facts.Role.PREFILL, model)
-        cost_s = read_s / max(1, prefills)
-        state = self.decode_example(model)
+        cost_s = prefill_s / max(1, prefills)
+        state = self.freest_decode_runner(model)
         if state is None:
             return cost_s
         facts = state.facts
         decodes = self._fleet.count(runner_facts.Role.DECODE, model)
         hold_s = self._predictor.hold_s(model, item.max_tokens)
         cost_s = max(cost_s, hold_s / max(1, decodes * facts.slots))
-        kv_bytes = kv_need(item, facts)
-        room = max(1, decodes * facts.kv_capacity_bytes)
-        return max(cost_s, hold_s * kv_bytes / room)
+        kv_bytes = kv_bytes_needed(item, facts)
+        pool_bytes = max(1, decodes * facts.kv_capacity_bytes)
+        return max(cost_s, hold_s * kv_bytes / pool_bytes)
 
-    def decode_example(self, model: str) -> runner_state.RunnerState | None:
+    def freest_decode_runner(
+        self, model: str
+    ) -> runner_state.RunnerState | None:
         """Return the decode runner of a model with the most room."""
-        return self._fleet.top(runner_facts.Role.DECODE, model)
+        return self._fleet.least_loaded_runner(runner_facts.Role.DECODE, model)
 
-    def decode_room(
+    def decode_capacity(
         self, model: str, kv_bytes: int, enough: int
     ) -> tuple[int, int, int]:
         """Count requests that fit now, and slots and bytes that we hold.
@@ -109,16 +113,18 @@
         busy = 0
         busy_bytes = 0
         role = runner_facts.Role.DECODE
-        for state in self._fleet.best(role, model, ROOM_CANDIDATES):
+        for state in self._fleet.least_loaded(
+            role, model, CAPACITY_CANDIDATES
+        ):
             by_bytes = state.free_bytes // max(1, kv_bytes)
             free += max(0, min(state.free_slots, by_bytes))
             if free >= enough:
                 break
-            busy += len(state.held)
-            busy_bytes += state.held_bytes
+            busy += len(state.reservations)
+            busy_bytes += state.reserved_bytes
         return free, busy, busy_bytes
 
 
-def kv_need(item: work.Work, facts: runner_facts.RunnerFacts) -> int:
+def kv_bytes_needed(item: work.Work, facts: runner_facts.RunnerFacts) -> int:
     """KV memory of a request at its longest."""
     return (item.prompt_tokens + item.max_tokens) * facts.kv_bytes_per_token
--- a/limpetroute/decisions/full_policy.py
+++ b/limpetroute/decisions/full_policy.py
@@ -30,15 +30,15 @@
 Phase = job_module.Phase
 
 NO_RUNNER_RETRY_S = 2.0
-EMPTY_GRACE_S = 2.0
-NEVER_RETRY_S = 3600.0
-FIXED_RETRY_S = 1.0
+NO_RUNNER_GRACE_S = 2.0
+TOO_LONG_RETRY_S = 3600.0
+DEFAULT_RETRY_S = 1.0
 DENIED_PAUSE_S = 0.02
 RESUME_LIMIT_S = 5.0
-SAMPLE_TOKENS = 4
+GAP_SAMPLE_TOKENS = 4
 MAX_SHED = 4
 RESULT_MARGIN_S = 0.05
-EXAMPLE_AHEAD_S = 0.1
+ASSUMED_PREFILL_S = 0.1
 
 
 class FullPolicy:
@@ -51,46 +51,46 @@
     """
 
     __slots__ = (
+        '_actions',
         '_config',
-        '_dirty',
+        '_dirty_models',
         '_ejection',
-        '_expiry',
+        '_expiries',
         '_fleet',
         '_forecast',
-        '_index',
         '_jobs',
         '_models',
-        '_out',
-        '_pauses',
+        '_pause_ends',
         '_predictor',
+        '_prefix_index',
         '_retries',
         '_transfers',
-        '_unslotted',
+        '_unreserved',
     )
 
     def __init__(self, *, config: policy_config.PolicyConfig) -> None:
         self._config = config
         self._fleet = fleet_module.Fleet()
-        self._index = prefix_index.PrefixIndex()
+        self._prefix_index = prefix_index.PrefixIndex()
         self._predictor = predictor_module.Predictor()
         self._transfers = transfer_budget.TransferBudget()
         self._retries = retry_budget.RetryBudget()
         self._ejection = ejection.Ejection()
         self._forecast = forecast_module.Forecast(
             fleet=self._fleet,
-            index=self._index,
+            index=self._prefix_index,
             predictor=self._predictor,
             transfers=self._transfers,
         )
-        self._unslotted: collections.Counter[frozenset[str]] = (
+        self._unreserved: collections.Counter[frozenset[str]] = (
             collections.Counter()
         )
         self._jobs: dict[str, job_module.Job] = {}
         self._models: dict[str, model_state.ModelState] = {}
-        self._dirty: dict[str, None] = {}
-        self._expiry: list[tuple[float, str]] = []
-        self._pauses: list[tuple[float, str]] = []
-        self._out: list[action.Action] = []
+        self._dirty_models: dict[str, None] = {}
+        self._expiries: list[tuple[float, str]] = []
+        self._pause_ends: list[tuple[float, str]] = []
+        self._actions: list[action.Action] = []
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(config={self._config!r})'
@@ -99,13 +99,13 @@
     def idle(self) -> bool:
         """Whether nothing is queued, held, counted or under way."""
         held = any(
-            state.held or state.outstanding
+            state.reservations or state.outstanding_prefills
             for state in self._fleet.runners.values()
         )
         models = all(state.idle for state in self._models.values())
-        moving = self._transfers.under_way_bytes
-        unslotted = any(self._unslotted.values())
-        rest = moving or unslotted
+        moving = self._transfers.in_flight_bytes
+        unreserved = any(self._unreserved.values())
+        rest = moving or unreserved
         return not self._jobs and not held and models and not rest
 
     @property
@@ -130,86 +130,86 @@
         self._config = config
         for state in self._models.values():
             state.queue.set_shares(config.team_shares)
-        self._dirty.update(dict.fromkeys(self._models))
+        self._dirty_models.update(dict.fromkeys(self._models))
 
     def on_runner(self, facts: runner_facts.RunnerFacts, now_s: float) -> None:
         """Take a runner's announcement, new or changed."""
         old = self._fleet.runners.get(facts.runner_id)
         if old is not None and old.facts.incarnation != facts.incarnation:
-            self._forget(facts.runner_id)
+            self._reset_runner(facts.runner_id)
         if self._fleet.add(facts):
-            self._touch(facts.models)
+            self._mark_dirty(facts.models)
 
     def on_runner_gone(self, runner_id: str, now_s: float) -> None:
         """Forget a runner whose heartbeats ended."""
         state = self._fleet.remove(runner_id)
         if state is not None:
-            self._forget(runner_id)
-            self._touch(state.facts.models)
+            self._reset_runner(runner_id)
+            self._mark_dirty(state.facts.models)
 
     def on_report(self, report: load_report.LoadReport, now_s: float) -> None:
         """Take a load report; it tells what other hosts hold."""
         state = self._fleet.runners.get(report.runner_id)
         if state is None:
             return
-        if not state.outstanding:
-            self._predictor.decayed_wait(report.runner_id)
-        self._fleet.take_report(state, report)
-        self._touch(state.facts.models)
+        if not state.outstanding_prefills:
+            self._predictor.decay_wait(report.runner_id)
+        self._fleet.apply_report(state, report)
+        self._mark_dirty(state.facts.models)
 
     def on_cached(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
         """Take a cache event: these prefix blocks are held there."""
         if runner_id in self._fleet.runners:
-            self._index.stored(runner_id, blocks, now_s)
+            self._prefix_index.add(runner_id, blocks, now_s)
 
     def on_evicted(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
         """Take a cache event: these prefix blocks are no longer held."""
-        self._index.evicted(runner_id, blocks)
+        self._prefix_index.remove(runner_id, blocks)
 
     def offer(self, item: work.Work, now_s: float) -> None:
         """Admit a request to the queue or refuse it at once."""
-        idle_s = self._forecast.idle_s(item)
+        idle_first_token_s = self._forecast.idle_first_token_s(item)
         limit_s = admission.limit_s(
             arrived_s=item.arrived_s,
             first_token_by_s=item.first_token_by_s,
-            idle_s=idle_s,
+            idle_first_token_s=idle_first_token_s,
         )
         job = job_module.Job(item=item, limit_s=limit_s)
         self._jobs[item.work_id] = job
         self._retries.earn()
-        if not self._servable(job, now_s):
+        if not self._check_servable(job, now_s):
             return
         state = self._model(item.model)
-        read_s = self._forecast.read_s(item, job.tokens, now_s)
+        prefill_s = self._forecast.prefill_s(item, job.prefill_tokens, now_s)
         slack_s = item.first_token_by_s - item.arrived_s
-        long = state.lane.saw(read_s, slack_s, now_s)
+        long = state.short_lane.classify(prefill_s, slack_s, now_s)
         queued = fair_queue.Queued(
             work_id=item.work_id,
             team=item.team,
-            cost_s=self._forecast.cost_s(item, read_s),
+            cost_s=self._forecast.cost_s(item, prefill_s),
             due_s=item.first_token_by_s,
             long=long,
             arrived_s=now_s,
         )
-        job.queued = queued
-        came_back = False
-        if self._config.uses(Decision.COMEBACK):
-            came_back = state.comeback.kept(
+        job.queue_entry = queued
+        is_promised = False
+        if self._config.uses(Decision.RETRY_PROMISES):
+            is_promised = state.retry_promises.redeem(
                 team=item.team,
                 key=item.key,
                 returning=item.returning,
-                behind=state.queue.is_behind(item.team, long=long),
+                over_share=state.queue.is_over_share(item.team, long=long),
                 now_s=now_s,
             )
-        fits = self._predict(job, state, read_s, came_back, now_s)
+        fits = self._predict(job, state, prefill_s, is_promised, now_s)
         if self._config.uses(Decision.ADMISSION) and not fits:
             self._refuse(job, action.Reason.SATURATED, now_s)
             return
-        queued.first = came_back
+        queued.has_priority = is_promised
         self._enqueue(job, state, now_s)
         if self._config.uses(Decision.SHEDDING):
             self._shed(state, now_s)
@@ -223,12 +223,12 @@
             return
         runner_id = job.prefill_id or ''
         self._end_prefill(job)
-        self._ejection.worked(runner_id)
-        self._learn_prefill(job, runner_id, cached_tokens, now_s)
-        job.done_s = now_s
+        self._ejection.record_success(runner_id)
+        self._record_prefill(job, runner_id, cached_tokens, now_s)
+        job.prefill_done_s = now_s
         job.phase = Phase.AWAITING
         self._model(job.item.model).awaiting[work_id] = job
-        self._touch((job.item.model,))
+        self._mark_dirty((job.item.model,))
 
     def on_transfer_done(self, work_id: str, now_s: float) -> None:
         """Learn the link's rate."""
@@ -236,32 +236,32 @@
         if job is None or job.phase is not Phase.TRANSFER:
             return
         job.phase = Phase.DECODE
-        self._transfers.arrived(work_id, now_s)
-        self._ejection.worked(job.decode_id or '')
+        self._transfers.complete(work_id, now_s)
+        self._ejection.record_success(job.decode_id or '')
 
     def on_tokens(self, work_id: str, count: int, now_s: float) -> None:
         """Learn the time between tokens."""
         job = self._jobs.get(work_id)
         if job is None or job.phase is not Phase.DECODE or count < 1:
             return
-        if job.delivered == 0:
-            self._saw_first_token(job, now_s)
+        if job.delivered_tokens == 0:
+            self._record_first_token(job, now_s)
             count -= 1
-            job.delivered = 1
+            job.delivered_tokens = 1
             job.last_token_s = now_s
-        elif job.last_token_s < job.done_s:
+        elif job.last_token_s < job.prefill_done_s:
             # The first token after a restart says nothing of the pace.
-            job.delivered += 1
+            job.delivered_tokens += 1
             job.last_token_s = now_s
             count -= 1
-        job.delivered += count
-        job.sample_tokens += count
-        if job.sample_tokens < SAMPLE_TOKENS:
+        job.delivered_tokens += count
+        job.gap_tokens += count
+        if job.gap_tokens < GAP_SAMPLE_TOKENS:
             return
-        gap_s = (now_s - job.last_token_s) / job.sample_tokens
-        job.sample_tokens = 0
+        gap_s = (now_s - job.last_token_s) / job.gap_tokens
+        job.gap_tokens = 0
         job.last_token_s = now_s
-        self._saw_gap(job, gap_s, now_s)
+        self._record_gap(job, gap_s, now_s)
 
     def on_denied(
         self, work_id: str, runner_id: str, free_slots: int, now_s: float
@@ -277,17 +277,17 @@
             return
         self._release_decode(job)
         if state is not None:
-            held = len(state.held)
+            held = len(state.reservations)
             state.foreign_slots = max(0, state.facts.slots - held - free_slots)
             self._pause(state, now_s + DENIED_PAUSE_S)
-            self._fleet.moved(state)
+            self._fleet.reorder(state)
         if job.phase is Phase.PREFILL:
             self._end_prefill(job)
             self._requeue(job, now_s)
             return
         if job.phase is Phase.TRANSFER:
             self._transfers.abandon(work_id)
-            self._await_again(job)
+            self._await_decode(job)
 
     def on_failed(
         self,
@@ -306,19 +306,22 @@
         if failing is not None:
             self._pause(failing, now_s + DENIED_PAUSE_S)
             if self._config.uses(Decision.EJECTION):
-                self._ejection.failed(failing, now_s)
-        self._drop(job)
+                self._ejection.record_failure(failing, now_s)
+        self._release_all(job)
         # The same result that fails on its way to a second runner is
         # itself at fault: it is read again, and that runner may be used.
-        again = at is stage.Stage.TRANSFER and job.moves > 1
+        again = at is stage.Stage.TRANSFER and job.transfer_count > 1
         if not again:
             self._avoid(job, at, runner_id)
         if not may_repeat:
             self._refuse(job, action.Reason.RETRIES, now_s)
             return
         if at is stage.Stage.TRANSFER and was_decode and not again:
-            if now_s + RESULT_MARGIN_S < job.done_s + self._result_ttl_s:
-                self._await_again(job)
+            if (
+                now_s + RESULT_MARGIN_S
+                < job.prefill_done_s + self._result_ttl_s
+            ):
+                self._await_decode(job)
                 return
         self._retry(job, now_s)
 
@@ -328,32 +331,32 @@
         if job is None:
             return
         if how is stage.Ending.COMPLETED:
-            self._predictor.saw_answer(
-                job.item.model, job.item.max_tokens, job.delivered
+            self._predictor.record_answer(
+                job.item.model, job.item.max_tokens, job.delivered_tokens
             )
-        self._drop(job)
+        self._release_all(job)
 
     def actions(self, now_s: float) -> list[action.Action]:
         """Return what is to be done now, in order."""
-        self._unpause(now_s)
+        self._resume_paused(now_s)
         self._expire(now_s)
-        while self._dirty:
-            models = list(self._dirty)
-            self._dirty.clear()
+        while self._dirty_models:
+            models = list(self._dirty_models)
+            self._dirty_models.clear()
             # A slot that came free goes to a finished prefill of any
             # model before it lets a new one start.
             for model in models:
                 self._serve_awaiting(model, now_s)
             for model in models:
                 self._dispatch(model, now_s)
-        out = self._out
-        self._out = []
+        out = self._actions
+        self._actions = []
         return out
 
     def wake_s(self) -> float | None:
         """Return the first time at which something lapses."""
-        while self._expiry:
-            _, work_id = self._expiry[0]
+        while self._expiries:
+            _, work_id = self._expiries[0]
             job = self._jobs.get(work_id)
             if job is not None and job.phase in (
                 Phase.QUEUED,
@@ -361,12 +364,12 @@
                 Phase.AWAITING,
             ):
                 break
-            heapq.heappop(self._expiry)
+            heapq.heappop(self._expiries)
         times = []
-        if self._expiry:
-            times.append(self._expiry[0][0])
-        if self._pauses:
-            times.append(self._pauses[0][0])
+        if self._expiries:
+            times.append(self._expiries[0][0])
+        if self._pause_ends:
+            times.append(self._pause_ends[0][0])
         probe_s = self._ejection.wake_s
         if probe_s is not None:
             times.append(probe_s)
@@ -387,17 +390,17 @@
             self._models[name] = state
         return state
 
-    def _touch(self, models: typing.Iterable[str]) -> None:
+    def _mark_dirty(self, models: typing.Iterable[str]) -> None:
         for model in models:
             if model in self._models:
-                self._dirty[model] = None
+                self._dirty_models[model] = None
 
-    def _forget(self, runner_id: str) -> None:
-        self._predictor.forget(runner_id)
-        self._index.forget(runner_id)
-        self._ejection.forget(runner_id)
+    def _reset_runner(self, runner_id: str) -> None:
+        self._predictor.remove_runner(runner_id)
+        self._prefix_index.remove_runner(runner_id)
+        self._ejection.remove_runner(runner_id)
 
-    def _servable(self, job: job_module.Job, now_s: float) -> bool:
+    def _check_servable(self, job: job_module.Job, now_s: float) -> bool:
         """Refuse what no runner could take.
 
         A model without runners is often one whose runner restarts, or
@@ -405,20 +408,20 @@
         yet; for `EMPTY_GRACE_S` its requests wait for their target.
         """
         model = job.item.model
-        example = self._forecast.decode_example(model)
+        example = self._forecast.freest_decode_runner(model)
         prefills = self._fleet.count(runner_facts.Role.PREFILL, model)
         state = self._model(model)
         if example is None or not prefills:
-            if state.empty_since_s is None:
-                state.empty_since_s = now_s
-            if now_s - state.empty_since_s <= EMPTY_GRACE_S:
+            if state.no_runners_since_s is None:
+                state.no_runners_since_s = now_s
+            if now_s - state.no_runners_since_s <= NO_RUNNER_GRACE_S:
                 return True
             self._give_up(job, action.Reason.NO_RUNNER, NO_RUNNER_RETRY_S)
             return False
-        state.empty_since_s = None
-        need = forecast_module.kv_need(job.item, example.facts)
+        state.no_runners_since_s = None
+        need = forecast_module.kv_bytes_needed(job.item, example.facts)
         if need > example.facts.kv_capacity_bytes:
-            self._give_up(job, action.Reason.TOO_LONG, NEVER_RETRY_S)
+            self._give_up(job, action.Reason.TOO_LONG, TOO_LONG_RETRY_S)
             return False
         return True
 
@@ -426,41 +429,43 @@
         self,
         job: job_module.Job,
         state: model_state.ModelState,
-        read_s: float,
-        came_back: bool,
+        prefill_s: float,
+        is_promised: bool,
         now_s: float,
     ) -> bool:
         """Predict the first token; return whether the limit is met."""
         item = job.item
-        queued = job.queued
+        queued = job.queue_entry
         assert queued is not None
-        behind = state.queue.is_behind(item.team, long=queued.long)
-        job.behind = behind
-        ahead_s = state.queue.first_backlog_s
-        if not came_back:
-            ahead_s += state.queue.ahead_s(item.team, long=queued.long)
-        if behind and len(state.queue) and not came_back:
+        over_share = state.queue.is_over_share(item.team, long=queued.long)
+        job.over_share = over_share
+        ahead_s = state.queue.priority_backlog_s
+        if not is_promised:
+            ahead_s += state.queue.cost_ahead_s(item.team, long=queued.long)
+        if over_share and len(state.queue) and not is_promised:
             # A team below its share needs not make room for others'
             # appointments.
-            ahead_s += state.comeback.expected_cost_s
-        wait_s = ahead_s / state.drain.value
+            ahead_s += state.retry_promises.expected_cost_s
+        wait_s = ahead_s / state.drain_rate.value
         if self._choose_prefill(job, state, now_s) is None:
             wait_s += self._forecast.free_in_s(item.model, now_s)
-        if not self._has_room(job, state, EXAMPLE_AHEAD_S):
-            wait_s += queued.cost_s / state.drain.value
-        service_s = read_s + self._forecast.after_read_s(item, job.tokens)
+        if not self._has_decode_slot(job, state, ASSUMED_PREFILL_S):
+            wait_s += queued.cost_s / state.drain_rate.value
+        service_s = prefill_s + self._forecast.after_prefill_s(
+            item, job.prefill_tokens
+        )
         service_s += self._forecast.foreign_wait_s(item.model)
-        job.raw_wait_s = wait_s
+        job.predicted_wait_s = wait_s
         job.service_s = service_s
-        bias = state.bias(long=queued.long, behind=behind)
-        job.predicted_s = service_s + bias.corrected_s(wait_s)
-        waits = wait_s > 0 and not came_back
+        bias = state.bias(long=queued.long, over_share=over_share)
+        job.predicted_s = service_s + bias.corrected_wait_s(wait_s)
+        is_queued = wait_s > 0 and not is_promised
         slack_s = job.limit_s - item.arrived_s
-        margin = bias.margin(waits=waits)
+        margin = bias.margin(is_queued=is_queued)
         margin_s = margin.value_s(slack_s)
         if now_s + job.predicted_s + margin_s <= job.limit_s:
             return True
-        margin.refused()
+        margin.record_refusal()
         return False
 
     def _choose_prefill(
@@ -469,58 +474,58 @@
         state: model_state.ModelState,
         now_s: float,
     ) -> prefill_placement.PrefillChoice | None:
-        barred = None
+        excluded_id = None
         if self._config.uses(Decision.SHORT_LANE):
-            read_s = self._predictor.typical_prefill_s(job.tokens)
+            prefill_s = self._predictor.typical_prefill_s(job.prefill_tokens)
             role = runner_facts.Role.PREFILL
             model = job.item.model
             if self._fleet.count(role, model) > 1:
-                if state.lane.blocks(read_s, now_s):
-                    barred = self._fleet.first(role, model)
+                if state.short_lane.would_block(prefill_s, now_s):
+                    excluded_id = self._fleet.lowest_id(role, model)
         cached = self._config.uses(Decision.CACHE_PLACEMENT)
         return prefill_placement.choose(
             fleet=self._fleet,
-            index=self._index if cached else None,
+            index=self._prefix_index if cached else None,
             predictor=self._predictor,
             item=job.item,
-            tokens=job.tokens,
-            tried=job.tried,
-            barred=barred,
+            tokens=job.prefill_tokens,
+            failed_runners=job.failed_runners,
+            excluded_id=excluded_id,
             now_s=now_s,
         )
 
     def _kv_bytes(self, job: job_module.Job) -> int:
-        example = self._forecast.decode_example(job.item.model)
+        example = self._forecast.freest_decode_runner(job.item.model)
         if example is None:
             return 0
-        return forecast_module.kv_need(job.item, example.facts)
+        return forecast_module.kv_bytes_needed(job.item, example.facts)
 
-    def _has_room(
+    def _has_decode_slot(
         self,
         job: job_module.Job,
         state: model_state.ModelState,
-        done_in_s: float,
+        prefill_done_in_s: float,
     ) -> bool:
         """Whether a slot will be there when the prefill ends."""
         if not self._config.uses(Decision.RESERVATION):
             return True
-        unslotted = self._unslotted[self._pool(job)]
+        unreserved = self._unreserved[self._pool(job)]
         kv_bytes = self._kv_bytes(job)
-        free, busy, busy_bytes = self._forecast.decode_room(
-            job.item.model, kv_bytes, unslotted + 1
+        free, busy, busy_bytes = self._forecast.decode_capacity(
+            job.item.model, kv_bytes, unreserved + 1
         )
-        if free > unslotted:
+        if free > unreserved:
             return True
         if self._config.objective is policy_config.Objective.WASTED_PREFILL:
             return False
-        if kv_bytes * busy > reservation.MAX_SIZE * busy_bytes:
+        if kv_bytes * busy > reservation.MAX_RELATIVE_SIZE * busy_bytes:
             return False
-        return reservation.may_start_ahead(
+        return reservation.may_start_unreserved(
             free_slots=free,
-            unslotted=unslotted,
+            unreserved=unreserved,
             busy_slots=busy,
             hold_s=self._predictor.hold_s(job.item.model, job.item.max_tokens),
-            done_in_s=done_in_s,
+            prefill_done_in_s=prefill_done_in_s,
         )
 
     def _enqueue(
@@ -529,38 +534,40 @@
         state: model_state.ModelState,
         now_s: float,
     ) -> None:
-        queued = job.queued
+        queued = job.queue_entry
         assert queued is not None
         job.phase = Phase.QUEUED
         state.queue.add(queued)
-        latest_s = self._latest_s(job)
-        heapq.heappush(self._expiry, (max(now_s, latest_s), job.item.work_id))
-        self._dirty[job.item.model] = None
+        latest_s = self._latest_start_s(job)
+        heapq.heappush(
+            self._expiries, (max(now_s, latest_s), job.item.work_id)
+        )
+        self._dirty_models[job.item.model] = None
 
     def _requeue(self, job: job_module.Job, now_s: float) -> None:
-        queued = job.queued
+        queued = job.queue_entry
         assert queued is not None
-        queued.first = True
+        queued.has_priority = True
         self._enqueue(job, self._model(job.item.model), now_s)
 
     def _shed(self, state: model_state.ModelState, now_s: float) -> None:
         """Give up at once what a new request has pushed too far back."""
         for _ in range(MAX_SHED):
-            victim = state.queue.heaviest()
+            victim = state.queue.newest_of_heaviest_team()
             if victim is None:
                 return
             job = self._jobs[victim.work_id]
             ahead_s = state.queue.backlog_s - victim.cost_s
-            wait_s = ahead_s / state.drain.value
-            bias = state.bias(long=victim.long, behind=job.behind)
-            end_s = now_s + bias.corrected_s(wait_s) + job.service_s
-            if end_s <= job.limit_s or job.delivered:
+            wait_s = ahead_s / state.drain_rate.value
+            bias = state.bias(long=victim.long, over_share=job.over_share)
+            end_s = now_s + bias.corrected_wait_s(wait_s) + job.service_s
+            if end_s <= job.limit_s or job.delivered_tokens:
                 return
             self._refuse(job, action.Reason.SATURATED, now_s)
 
     def _dispatch(self, model: str, now_s: float) -> None:
         state = self._models[model]
-        self._rescue(state, now_s)
+        self._requeue_stranded(state, now_s)
         while True:
             progress = False
             for head in state.queue.heads():
@@ -570,9 +577,9 @@
             if not progress:
                 break
         if len(state.queue):
-            state.drain.waits(now_s)
+            state.drain_rate.start_waiting(now_s)
         else:
-            state.drain.empty()
+            state.drain_rate.stop_waiting()
 
     def _try_start(
         self,
@@ -581,22 +588,22 @@
         now_s: float,
     ) -> bool:
         """Start a request or give it up; False where it must wait."""
-        if job.delivered and self._tried_all(job):
+        if job.delivered_tokens and self._all_runners_failed(job):
             self._strand(job, state, now_s)
             return True
         choice = self._choose_prefill(job, state, now_s)
         if choice is None:
             return False
-        if not self._has_room(job, state, choice.done_in_s):
+        if not self._has_decode_slot(job, state, choice.prefill_done_in_s):
             return False
-        if not self._may_place_again(job, choice.state.facts.zone, now_s):
+        if not self._can_place_retry(job, choice.state.facts.zone, now_s):
             return False
-        service_s = self._forecast.choice_service_s(
-            job.item, job.tokens, choice
+        service_s = self._forecast.first_token_s(
+            job.item, job.prefill_tokens, choice
         )
         late = now_s + service_s > job.limit_s
         if late and self._config.uses(Decision.ADMISSION):
-            if not job.delivered:
+            if not job.delivered_tokens:
                 self._refuse(job, action.Reason.DEADLINE, now_s)
                 return True
         self._start(job, state, choice, service_s, now_s)
@@ -617,18 +624,22 @@
         state.queue.discard(job.item.work_id)
         job.phase = Phase.STRANDED
         state.stranded[job.item.work_id] = job
-        latest_s = self._latest_s(job)
-        heapq.heappush(self._expiry, (max(now_s, latest_s), job.item.work_id))
+        latest_s = self._latest_start_s(job)
+        heapq.heappush(
+            self._expiries, (max(now_s, latest_s), job.item.work_id)
+        )
 
-    def _rescue(self, state: model_state.ModelState, now_s: float) -> None:
+    def _requeue_stranded(
+        self, state: model_state.ModelState, now_s: float
+    ) -> None:
         """Queue those again for which there is a new runner."""
         for work_id, job in list(state.stranded.items()):
-            if self._tried_all(job):
+            if self._all_runners_failed(job):
                 continue
             del state.stranded[work_id]
             self._requeue(job, now_s)
 
-    def _may_place_again(
+    def _can_place_retry(
         self, job: job_module.Job, zone: str, now_s: float
     ) -> bool:
         """Whether a request that failed somewhere has a decode runner now.
@@ -638,7 +649,9 @@
         again and thrown away, since nobody can take the result. So a
         request that may not go everywhere starts only with a slot held.
         """
-        if not job.tried or not self._config.uses(Decision.RESERVATION):
+        if not job.failed_runners or not self._config.uses(
+            Decision.RESERVATION
+        ):
             return True
         job.kv_bytes = self._kv_bytes(job)
         return self._place_decode(job, zone, now_s) is not None
@@ -651,33 +664,37 @@
         service_s: float,
         now_s: float,
     ) -> None:
-        queued = job.queued
+        queued = job.queue_entry
         assert queued is not None
         state.queue.take(queued)
-        state.drain.took(queued.cost_s, now_s, waiting=len(state.queue) > 0)
+        state.drain_rate.record_taken(
+            queued.cost_s, now_s, waiting=len(state.queue) > 0
+        )
         if job.attempts == 0:
             waited_s = now_s - queued.arrived_s
-            bias = state.bias(long=queued.long, behind=job.behind)
-            bias.saw_wait(job.raw_wait_s, waited_s)
+            bias = state.bias(long=queued.long, over_share=job.over_share)
+            bias.record_wait(job.predicted_wait_s, waited_s)
         runner = choice.state
         job.phase = Phase.PREFILL
         job.prefill_id = runner.runner_id
-        job.sent_s = now_s
-        job.moves = 0
+        job.prefill_sent_s = now_s
+        job.transfer_count = 0
         job.service_s = service_s
-        job.own_wait_s = runner.outstanding_s
+        job.own_work_ahead_s = runner.outstanding_prefill_s
         job.expected_cached = choice.expected_cached
         runner.start_prefill(
-            job.item.work_id, choice.read_s, now_s + choice.done_in_s
+            job.item.work_id,
+            choice.prefill_s,
+            now_s + choice.prefill_done_in_s,
         )
-        self._fleet.moved(runner)
+        self._fleet.reorder(runner)
         job.kv_bytes = self._kv_bytes(job)
         target = self._place_decode(job, runner.facts.zone, now_s)
         if target is None or not self._config.uses(Decision.RESERVATION):
-            self._unslot(job)
+            self._count_unreserved(job)
         else:
-            self._hold(job, target)
-        self._out.append(
+            self._reserve(job, target)
+        self._actions.append(
             action.StartPrefill(
                 work_id=job.item.work_id,
                 runner_id=runner.runner_id,
@@ -703,17 +720,17 @@
             item=job.item,
             kv_bytes=job.kv_bytes,
             source_zone=zone,
-            tried=job.tried,
+            failed_runners=job.failed_runners,
             now_s=now_s,
         )
 
-    def _hold(
+    def _reserve(
         self, job: job_module.Job, target: runner_state.RunnerState
     ) -> None:
-        target.hold(job.item.work_id, job.kv_bytes)
+        target.reserve(job.item.work_id, job.kv_bytes)
         job.decode_id = target.runner_id
-        self._slotted(job)
-        self._fleet.moved(target)
+        self._uncount_unreserved(job)
+        self._fleet.reorder(target)
 
     def _pool(self, job: job_module.Job) -> frozenset[str]:
         """Name the decode runners that a request may go to.
@@ -722,37 +739,37 @@
         two models each took the last one, and 15% of the reading was
         thrown away on the shape of the goal at 1.2x.
         """
-        example = self._forecast.decode_example(job.item.model)
+        example = self._forecast.freest_decode_runner(job.item.model)
         if example is None:
             return frozenset({job.item.model})
         return example.facts.models
 
-    def _unslot(self, job: job_module.Job) -> None:
-        if job.unslotted is None:
-            job.unslotted = self._pool(job)
-            self._unslotted[job.unslotted] += 1
+    def _count_unreserved(self, job: job_module.Job) -> None:
+        if job.unreserved_pool is None:
+            job.unreserved_pool = self._pool(job)
+            self._unreserved[job.unreserved_pool] += 1
 
-    def _slotted(self, job: job_module.Job) -> None:
-        if job.unslotted is not None:
-            self._unslotted[job.unslotted] -= 1
-            job.unslotted = None
+    def _uncount_unreserved(self, job: job_module.Job) -> None:
+        if job.unreserved_pool is not None:
+            self._unreserved[job.unreserved_pool] -= 1
+            job.unreserved_pool = None
 
     def _serve_awaiting(self, model: str, now_s: float) -> None:
         """Send finished prefills on, oldest first."""
         state = self._models[model]
         for work_id, job in list(state.awaiting.items()):
-            if job.decode_id is not None and not self._holds_room(job):
+            if job.decode_id is not None and not self._has_reservation(job):
                 self._release_decode(job)
             if job.decode_id is None:
                 target = self._place_decode(job, self._zone(job), now_s)
                 if target is None:
                     self._wait_for_slot(job)
                     continue
-                self._hold(job, target)
+                self._reserve(job, target)
             del state.awaiting[work_id]
-            self._send(job, now_s)
+            self._start_transfer(job, now_s)
 
-    def _holds_room(self, job: job_module.Job) -> bool:
+    def _has_reservation(self, job: job_module.Job) -> bool:
         """Whether the room taken at the start is still counted.
 
         A runner that restarted while the prompt was read is there again
@@ -761,32 +778,32 @@
         same slot and memory.
         """
         state = self._fleet.runners.get(job.decode_id or '')
-        return state is not None and job.item.work_id in state.held
+        return state is not None and job.item.work_id in state.reservations
 
     def _wait_for_slot(self, job: job_module.Job) -> None:
-        self._unslot(job)
-        until_s = job.done_s + self._result_ttl_s - RESULT_MARGIN_S
-        heapq.heappush(self._expiry, (until_s, job.item.work_id))
+        self._count_unreserved(job)
+        until_s = job.prefill_done_s + self._result_ttl_s - RESULT_MARGIN_S
+        heapq.heappush(self._expiries, (until_s, job.item.work_id))
 
     def _zone(self, job: job_module.Job) -> str:
         source = self._fleet.runners.get(job.prefill_id or '')
         return source.facts.zone if source else job.item.zone
 
-    def _send(self, job: job_module.Job, now_s: float) -> None:
+    def _start_transfer(self, job: job_module.Job, now_s: float) -> None:
         assert job.decode_id is not None
         target = self._fleet.runners[job.decode_id]
-        route = (self._zone(job), target.facts.zone)
-        size = job.tokens * target.facts.kv_bytes_per_token
+        link = (self._zone(job), target.facts.zone)
+        transfer_bytes = job.prefill_tokens * target.facts.kv_bytes_per_token
         timeout_s = None
         if self._config.uses(Decision.TRANSFER_BUDGET):
-            left_s = job.done_s + self._result_ttl_s - now_s
+            remaining_s = job.prefill_done_s + self._result_ttl_s - now_s
             timeout_s = self._transfers.timeout_s(
-                route, size, left_s - 2 * RESULT_MARGIN_S
+                link, transfer_bytes, remaining_s - 2 * RESULT_MARGIN_S
             )
-        self._transfers.start(job.item.work_id, route, size, now_s)
-        job.moves += 1
+        self._transfers.start(job.item.work_id, link, transfer_bytes, now_s)
+        job.transfer_count += 1
         job.phase = Phase.TRANSFER
-        self._out.append(
+        self._actions.append(
             action.StartDecode(
                 work_id=job.item.work_id,
                 runner_id=target.runner_id,
@@ -795,62 +812,70 @@
             )
         )
 
-    def _await_again(self, job: job_module.Job) -> None:
+    def _await_decode(self, job: job_module.Job) -> None:
         state = self._model(job.item.model)
         job.phase = Phase.AWAITING
         state.awaiting[job.item.work_id] = job
-        self._dirty[job.item.model] = None
+        self._dirty_models[job.item.model] = None
 
-    def _learn_prefill(
+    def _record_prefill(
         self,
         job: job_module.Job,
         runner_id: str,
         cached_tokens: int,
         now_s: float,
     ) -> None:
-        read = max(1, job.tokens - cached_tokens)
-        took_s = now_s - job.sent_s
+        read = max(1, job.prefill_tokens - cached_tokens)
+        took_s = now_s - job.prefill_sent_s
         # Behind our own work the time is not the runner's, and what is
         # taken off for that work is a guess that may be too much.
-        alone = job.own_wait_s == 0.0
+        alone = job.own_work_ahead_s == 0.0
         if alone:
-            self._predictor.saw_prefill(runner_id, read, took_s)
-        self._index.found(job.expected_cached, cached_tokens)
-        self._index.stored(runner_id, job.item.prefix_blocks, now_s)
+            self._predictor.record_prefill(runner_id, read, took_s)
+        self._prefix_index.record_accuracy(job.expected_cached, cached_tokens)
+        self._prefix_index.add(runner_id, job.item.prefix_blocks, now_s)
         state = self._fleet.runners.get(runner_id)
         if state is None or not alone:
             return
         expected_s = self._predictor.prefill_s(runner_id, read)
         if took_s > 1.5 * expected_s:
-            self._judge(state, now_s)
+            self._evaluate_ejection(state, now_s)
 
-    def _saw_first_token(self, job: job_module.Job, now_s: float) -> None:
-        long = job.queued is not None and job.queued.long
-        bias = self._model(job.item.model).bias(long=long, behind=job.behind)
+    def _record_first_token(self, job: job_module.Job, now_s: float) -> None:
+        long = job.queue_entry is not None and job.queue_entry.long
+        bias = self._model(job.item.model).bias(
+            long=long, over_share=job.over_share
+        )
         took_s = now_s - job.item.arrived_s
         if job.attempts == 0:
             missed = now_s > job.limit_s
-            bias.margin(waits=job.raw_wait_s > 0).saw(missed=missed)
+            bias.margin(is_queued=job.predicted_wait_s > 0).record_outcome(
+                missed=missed
+            )
             self._predictor.error.add(abs(took_s - job.predicted_s))
 
-    def _saw_gap(
+    def _record_gap(
         self, job: job_module.Job, gap_s: float, now_s: float
     ) -> None:
         state = self._fleet.runners.get(job.decode_id or '')
         if state is None:
             return
-        self._predictor.saw_gap(state.runner_id, gap_s)
+        self._predictor.record_gap(state.runner_id, gap_s)
         if gap_s > job.item.token_gap_s:
-            self._judge(state, now_s)
+            self._evaluate_ejection(state, now_s)
 
-    def _judge(self, state: runner_state.RunnerState, now_s: float) -> None:
+    def _evaluate_ejection(
+        self, state: runner_state.RunnerState, now_s: float
+    ) -> None:
         if not self._config.uses(Decision.EJECTION):
             return
-        figures: typing.Mapping[str, ejection.Figure] = self._predictor.gaps
+        estimates: typing.Mapping[str, ejection.Estimate] = (
+            self._predictor.token_gaps
+        )
         if state.facts.role is runner_facts.Role.PREFILL:
-            figures = self._predictor.reads
-        self._ejection.judge(
-            fleet=self._fleet, state=state, figures=figures, now_s=now_s
+            estimates = self._predictor.prefill_s_per_token
+        self._ejection.evaluate(
+            fleet=self._fleet, state=state, estimates=estimates, now_s=now_s
         )
 
     def _avoid(
@@ -864,18 +889,18 @@
         if at is stage.Stage.TRANSFER:
             if self._fleet.count(state.facts.role, job.item.model) < 2:
                 return
-        job.tried.add((runner_id, state.facts.incarnation))
+        job.failed_runners.add((runner_id, state.facts.incarnation))
 
     def _retry(self, job: job_module.Job, now_s: float) -> None:
         job.attempts += 1
-        if job.delivered:
+        if job.delivered_tokens:
             job.limit_s = now_s + RESUME_LIMIT_S
-        read_s = self._predictor.typical_prefill_s(job.tokens)
-        late = now_s + read_s > job.limit_s
+        prefill_s = self._predictor.typical_prefill_s(job.prefill_tokens)
+        late = now_s + prefill_s > job.limit_s
         if late:
             self._refuse(job, action.Reason.DEADLINE, now_s)
             return
-        if not job.delivered and self._tried_all(job):
+        if not job.delivered_tokens and self._all_runners_failed(job):
             self._refuse(job, action.Reason.RETRIES, now_s)
             return
         if self._config.uses(Decision.RETRY_BUDGET):
@@ -887,10 +912,10 @@
             return
         self._requeue(job, now_s)
 
-    def _tried_all(self, job: job_module.Job) -> bool:
+    def _all_runners_failed(self, job: job_module.Job) -> bool:
         """Whether every runner of one role has failed this request."""
         roles = {name: 0 for name in runner_facts.Role}
-        for runner_id, incarnation in job.tried:
+        for runner_id, incarnation in job.failed_runners:
             state = self._fleet.runners.get(runner_id)
             if state is None or state.facts.incarnation != incarnation:
                 continue
@@ -902,8 +927,8 @@
         )
 
     def _expire(self, now_s: float) -> None:
-        while self._expiry and self._expiry[0][0] <= now_s:
-            _, work_id = heapq.heappop(self._expiry)
+        while self._expiries and self._expiries[0][0] <= now_s:
+            _, work_id = heapq.heappop(self._expiries)
             job = self._jobs.get(work_id)
             if job is None:
                 continue
@@ -913,66 +938,66 @@
             if job.phase is Phase.AWAITING:
                 self._expire_awaiting(job, now_s)
 
-    def _latest_s(self, job: job_module.Job) -> float:
+    def _latest_start_s(self, job: job_module.Job) -> float:
         """Return until when a start may still make the limit."""
         return job.limit_s - 0.5 * job.service_s
 
     def _expire_queued(self, job: job_module.Job, now_s: float) -> None:
-        latest_s = self._latest_s(job)
+        latest_s = self._latest_start_s(job)
         if latest_s > now_s:
-            heapq.heappush(self._expiry, (latest_s, job.item.work_id))
+            heapq.heappush(self._expiries, (latest_s, job.item.work_id))
             return
         self._refuse(job, action.Reason.DEADLINE, now_s)
 
     def _expire_awaiting(self, job: job_module.Job, now_s: float) -> None:
         """Read again, or give up, where the result has died."""
-        until_s = job.done_s + self._result_ttl_s - RESULT_MARGIN_S
+        until_s = job.prefill_done_s + self._result_ttl_s - RESULT_MARGIN_S
         if until_s > now_s:
             return
-        self._drop(job)
+        self._release_all(job)
         self._retry(job, now_s)
 
     def _pause(self, state: runner_state.RunnerState, until_s: float) -> None:
         state.paused_until_s = until_s
-        heapq.heappush(self._pauses, (until_s, state.runner_id))
+        heapq.heappush(self._pause_ends, (until_s, state.runner_id))
 
-    def _unpause(self, now_s: float) -> None:
-        while self._pauses and self._pauses[0][0] <= now_s:
-            _, runner_id = heapq.heappop(self._pauses)
+    def _resume_paused(self, now_s: float) -> None:
+        while self._pause_ends and self._pause_ends[0][0] <= now_s:
+            _, runner_id = heapq.heappop(self._pause_ends)
             state = self._fleet.runners.get(runner_id)
             if state is not None:
-                self._touch(state.facts.models)
+                self._mark_dirty(state.facts.models)
         wake_s = self._ejection.wake_s
         if wake_s is None or wake_s > now_s:
             return
-        for runner_id in self._ejection.probe(self._fleet, now_s):
-            self._predictor.forget(runner_id)
+        for runner_id in self._ejection.readmit(self._fleet, now_s):
+            self._predictor.remove_runner(runner_id)
             state = self._fleet.runners.get(runner_id)
             if state is not None:
-                self._touch(state.facts.models)
+                self._mark_dirty(state.facts.models)
 
     def _end_prefill(self, job: job_module.Job) -> None:
         state = self._fleet.runners.get(job.prefill_id or '')
         if state is not None:
             state.end_prefill(job.item.work_id)
-            self._fleet.moved(state)
-            self._touch(state.facts.models)
+            self._fleet.reorder(state)
+            self._mark_dirty(state.facts.models)
 
     def _release_decode(self, job: job_module.Job) -> None:
         state = self._fleet.runners.get(job.decode_id or '')
         job.decode_id = None
         if state is not None:
             state.release(job.item.work_id)
-            self._fleet.moved(state)
-            self._touch(state.facts.models)
+            self._fleet.reorder(state)
+            self._mark_dirty(state.facts.models)
 
-    def _drop(self, job: job_module.Job) -> None:
+    def _release_all(self, job: job_module.Job) -> None:
         """Give back everything that is held for a request."""
         work_id = job.item.work_id
         self._transfers.abandon(work_id)
         self._end_prefill(job)
         self._release_decode(job)
-        self._slotted(job)
+        self._uncount_unreserved(job)
         state = self._models.get(job.item.model)
         if state is None:
             return
@@ -985,25 +1010,27 @@
     ) -> None:
         """Give up with an appointment."""
         state = self._model(job.item.model)
-        queued = job.queued
+        queued = job.queue_entry
         # Misses that a failed runner caused say nothing of the margin;
         # learned from, they kept callers out long after it was back.
-        failed = job.attempts > 0 or self._ejection.out
-        waits = queued is not None and job.item.work_id in state.queue
-        if waits and not failed:
+        failed = job.attempts > 0 or self._ejection.ejected
+        is_queued = queued is not None and job.item.work_id in state.queue
+        if is_queued and not failed:
             assert queued is not None
             waited_s = now_s - queued.arrived_s
-            bias = state.bias(long=queued.long, behind=job.behind)
-            bias.saw_overdue(job.raw_wait_s, waited_s)
-            bias.margin(waits=job.raw_wait_s > 0).saw(missed=True)
-        retry_after_s = FIXED_RETRY_S
-        if self._config.uses(Decision.COMEBACK) and queued is not None:
-            retry_after_s = state.comeback.promise(
+            bias = state.bias(long=queued.long, over_share=job.over_share)
+            bias.record_overdue(job.predicted_wait_s, waited_s)
+            bias.margin(is_queued=job.predicted_wait_s > 0).record_outcome(
+                missed=True
+            )
+        retry_after_s = DEFAULT_RETRY_S
+        if self._config.uses(Decision.RETRY_PROMISES) and queued is not None:
+            retry_after_s = state.retry_promises.promise(
                 team=job.item.team,
                 key=job.item.key,
                 cost_s=queued.cost_s,
-                rate=state.drain.value,
-                least_s=queued.cost_s / state.drain.value,
+                drain_rate=state.drain_rate.value,
+                min_wait_s=queued.cost_s / state.drain_rate.value,
                 now_s=now_s,
             )
         self._give_up(job, reason, retry_after_s)
@@ -1014,9 +1041,9 @@
         reason: action.Reason,
         retry_after_s: float,
     ) -> None:
-        self._drop(job)
+        self._release_all(job)
         job.phase = Phase.OVER
-        self._out.append(
+        self._actions.append(
             action.GiveUp(
                 work_id=job.item.work_id,
                 reason=reason,
--- a/limpetroute/decisions/job.py
+++ b/limpetroute/decisions/job.py
@@ -31,27 +31,27 @@
 
     __slots__ = (
         'attempts',
-        'behind',
         'decode_id',
-        'delivered',
-        'done_s',
+        'delivered_tokens',
         'expected_cached',
+        'failed_runners',
+        'gap_tokens',
         'item',
         'kv_bytes',
         'last_token_s',
         'limit_s',
-        'moves',
-        'own_wait_s',
+        'over_share',
+        'own_work_ahead_s',
         'phase',
         'predicted_s',
+        'predicted_wait_s',
+        'prefill_done_s',
         'prefill_id',
-        'queued',
-        'raw_wait_s',
-        'sample_tokens',
-        'sent_s',
+        'prefill_sent_s',
+        'queue_entry',
         'service_s',
-        'tried',
-        'unslotted',
+        'transfer_count',
+        'unreserved_pool',
     )
 
     def __init__(self, *, item: work.Work, limit_s: float) -> None:
@@ -59,29 +59,29 @@
         self.limit_s = limit_s
         self.phase = Phase.QUEUED
         self.attempts = 0
-        self.moves = 0
-        self.delivered = 0
-        self.tried: set[tuple[str, int]] = set()
+        self.transfer_count = 0
+        self.delivered_tokens = 0
+        self.failed_runners: set[tuple[str, int]] = set()
         self.prefill_id: str | None = None
         self.decode_id: str | None = None
         self.kv_bytes = 0
-        self.unslotted: frozenset[str] | None = None
-        self.behind = False
-        self.queued: fair_queue.Queued | None = None
-        self.raw_wait_s = 0.0
+        self.unreserved_pool: frozenset[str] | None = None
+        self.over_share = False
+        self.queue_entry: fair_queue.Queued | None = None
+        self.predicted_wait_s = 0.0
         self.predicted_s = 0.0
         self.service_s = 0.0
-        self.own_wait_s = 0.0
+        self.own_work_ahead_s = 0.0
         self.expected_cached = 0.0
-        self.sent_s = 0.0
-        self.done_s = 0.0
+        self.prefill_sent_s = 0.0
+        self.prefill_done_s = 0.0
         self.last_token_s = 0.0
-        self.sample_tokens = 0
+        self.gap_tokens = 0
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(item={self.item!r})'
 
     @property
-    def tokens(self) -> int:
+    def prefill_tokens(self) -> int:
         """Tokens to read: the prompt and what was delivered."""
-        return self.item.prompt_tokens + self.delivered
+        return self.item.prompt_tokens + self.delivered_tokens
--- a/limpetroute/decisions/least_load.py
+++ b/limpetroute/decisions/least_load.py
@@ -32,6 +32,6 @@
         return report.running
 
     def _choose(
-        self, fit: list[runner_facts.RunnerFacts]
+        self, candidates: list[runner_facts.RunnerFacts]
     ) -> runner_facts.RunnerFacts:
-        return min(fit, key=self._load)
+        return min(candidates, key=self._load)
--- a/limpetroute/decisions/model_state.py
+++ b/limpetroute/decisions/model_state.py
@@ -4,10 +4,10 @@
 import typing
 
 from limpetroute.decisions import admission
-from limpetroute.decisions import comeback
 from limpetroute.decisions import drain_rate
 from limpetroute.decisions import fair_queue
 from limpetroute.decisions import job as job_module
+from limpetroute.decisions import retry_promises
 from limpetroute.decisions import short_lane
 
 
@@ -27,11 +27,11 @@
     __slots__ = (
         '_biases',
         'awaiting',
-        'comeback',
-        'drain',
-        'empty_since_s',
-        'lane',
+        'drain_rate',
+        'no_runners_since_s',
         'queue',
+        'retry_promises',
+        'short_lane',
         'stranded',
     )
 
@@ -45,26 +45,26 @@
         self.queue = fair_queue.FairQueue(
             shares=shares, fair=fair, lanes=lanes
         )
-        self.drain = drain_rate.DrainRate()
+        self.drain_rate = drain_rate.DrainRate()
         self._biases = tuple(admission.WaitBias() for _ in range(4))
-        self.lane = short_lane.ShortLane()
-        self.comeback = comeback.Comeback()
+        self.short_lane = short_lane.ShortLane()
+        self.retry_promises = retry_promises.RetryPromises()
         self.awaiting: collections.OrderedDict[str, job_module.Job] = (
             collections.OrderedDict()
         )
         # Begun answers that every runner there is has failed. Kept out
         # of the queue: at its head, one of them would stop all others.
         self.stranded: dict[str, job_module.Job] = {}
-        self.empty_since_s: float | None = None
+        self.no_runners_since_s: float | None = None
 
-    def bias(self, *, long: bool, behind: bool) -> admission.WaitBias:
+    def bias(self, *, long: bool, over_share: bool) -> admission.WaitBias:
         """Return what was learned of like requests.
 
         Dossiers err by seconds; were lookups judged by that, none
         would be let in. In the same way a team that sends far over its
         share misses often, and others must not pay with its margin.
         """
-        return self._biases[2 * long + behind]
+        return self._biases[2 * long + over_share]
 
     @property
     def idle(self) -> bool:
--- a/limpetroute/decisions/policy_config.py
+++ b/limpetroute/decisions/policy_config.py
@@ -25,7 +25,7 @@
     RETRY_BUDGET = 'retry_budget'
     EJECTION = 'ejection'
     SHEDDING = 'shedding'
-    COMEBACK = 'comeback'
+    RETRY_PROMISES = 'comeback'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/limpetroute/decisions/predictor.py
+++ b/limpetroute/decisions/predictor.py
@@ -8,8 +8,8 @@
 load), a twentieth for lengths of answers, which vary by request.
 """
 
-from limpetroute.decisions import least_of
 from limpetroute.decisions import smoothed
+from limpetroute.decisions import window_minimum
 
 PRIOR_PREFILL_S_PER_TOKEN = 1 / 20000
 PRIOR_OVERHEAD_S = 0.004
@@ -19,7 +19,7 @@
 ANSWER_WEIGHT = 0.05
 MIN_SAMPLE_TOKENS = 200
 WINDOW = 16
-ALL_WINDOW = 64
+FLEET_WINDOW = 64
 ERROR_WEIGHT = 0.05
 
 
@@ -27,62 +27,64 @@
     """Learns runners' speeds and the length of answers."""
 
     __slots__ = (
-        '_all_gaps',
-        '_all_prefill',
         '_answers',
+        '_fleet_gap',
+        '_fleet_prefill',
+        '_foreign_waits',
         '_gaps',
         '_prefill',
-        '_waits',
         'error',
     )
 
     def __init__(self) -> None:
-        self._all_prefill = least_of.LeastOf(
-            prior=PRIOR_PREFILL_S_PER_TOKEN, window=ALL_WINDOW
+        self._fleet_prefill = window_minimum.WindowMinimum(
+            prior=PRIOR_PREFILL_S_PER_TOKEN, window=FLEET_WINDOW
         )
-        self._all_gaps = _speed(PRIOR_GAP_S)
-        self._prefill: dict[str, least_of.LeastOf] = {}
+        self._fleet_gap = _new_gap(PRIOR_GAP_S)
+        self._prefill: dict[str, window_minimum.WindowMinimum] = {}
         self._gaps: dict[str, smoothed.Smoothed] = {}
-        self._waits: dict[str, smoothed.Smoothed] = {}
+        self._foreign_waits: dict[str, smoothed.Smoothed] = {}
         self._answers: dict[str, smoothed.Smoothed] = {}
         self.error = smoothed.Smoothed(prior=0.0, weight=ERROR_WEIGHT)
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop what was learned of a runner that is gone."""
         self._prefill.pop(runner_id, None)
         self._gaps.pop(runner_id, None)
-        self._waits.pop(runner_id, None)
+        self._foreign_waits.pop(runner_id, None)
 
     def prefill_s(self, runner_id: str, tokens: float) -> float:
         """Time that a runner reads ``tokens`` uncached tokens."""
-        known = self._prefill.get(runner_id, self._all_prefill)
-        return PRIOR_OVERHEAD_S + tokens * known.value
+        estimate = self._prefill.get(runner_id, self._fleet_prefill)
+        return PRIOR_OVERHEAD_S + tokens * estimate.value
 
     def typical_prefill_s(self, tokens: float) -> float:
         """Time that some runner reads ``tokens``."""
-        return PRIOR_OVERHEAD_S + tokens * self._all_prefill.value
+        return PRIOR_OVERHEAD_S + tokens * self._fleet_prefill.value
 
     @property
-    def reads(self) -> dict[str, least_of.LeastOf]:
+    def prefill_s_per_token(self) -> dict[str, window_minimum.WindowMinimum]:
         """Seconds for each token read, by runner."""
         return self._prefill
 
     @property
-    def gaps(self) -> dict[str, smoothed.Smoothed]:
+    def token_gaps(self) -> dict[str, smoothed.Smoothed]:
         """Seconds between tokens, by runner."""
         return self._gaps
 
-    def wait_s(self, runner_id: str) -> float:
+    def foreign_wait_s(self, runner_id: str) -> float:
         """Time that work of other hosts makes ours wait there."""
-        known = self._waits.get(runner_id)
-        return known.value if known else 0.0
+        estimate = self._foreign_waits.get(runner_id)
+        return estimate.value if estimate else 0.0
 
-    def wait_margin_s(self, runner_id: str) -> float:
+    def foreign_wait_deviation_s(self, runner_id: str) -> float:
         """Deviation of that wait."""
-        known = self._waits.get(runner_id)
-        return known.deviation if known else 0.0
+        estimate = self._foreign_waits.get(runner_id)
+        return estimate.deviation if estimate else 0.0
 
-    def saw_prefill(self, runner_id: str, tokens: int, took_s: float) -> None:
+    def record_prefill(
+        self, runner_id: str, tokens: int, took_s: float
+    ) -> None:
         """Learn from a prompt read.
 
         The time is explained by the reading and the work of other
@@ -91,50 +93,52 @@
         to the others.
         """
         if tokens >= MIN_SAMPLE_TOKENS:
-            known = self._prefill.setdefault(
+            estimate = self._prefill.setdefault(
                 runner_id,
-                least_of.LeastOf(prior=self._all_prefill.value, window=WINDOW),
+                window_minimum.WindowMinimum(
+                    prior=self._fleet_prefill.value, window=WINDOW
+                ),
             )
-            known.add(max(0.0, took_s - PRIOR_OVERHEAD_S) / tokens)
-            self._all_prefill.add(known.value)
-        wait = self._waits.setdefault(
+            estimate.add(max(0.0, took_s - PRIOR_OVERHEAD_S) / tokens)
+            self._fleet_prefill.add(estimate.value)
+        wait = self._foreign_waits.setdefault(
             runner_id, smoothed.Smoothed(prior=0.0, weight=RUNNER_WEIGHT)
         )
         wait.add(max(0.0, took_s - self.prefill_s(runner_id, tokens)))
 
-    def decayed_wait(self, runner_id: str) -> None:
+    def decay_wait(self, runner_id: str) -> None:
         """Believe less in the others' work where nothing was sent."""
-        known = self._waits.get(runner_id)
-        if known is not None:
-            known.value *= 0.9
+        estimate = self._foreign_waits.get(runner_id)
+        if estimate is not None:
+            estimate.value *= 0.9
 
-    def gap_s(self, runner_id: str) -> float:
+    def token_gap_s(self, runner_id: str) -> float:
         """Time between tokens at a runner."""
-        return self._gaps.get(runner_id, self._all_gaps).value
+        return self._gaps.get(runner_id, self._fleet_gap).value
 
-    def saw_gap(self, runner_id: str, gap_s: float) -> None:
+    def record_gap(self, runner_id: str, gap_s: float) -> None:
         """Learn from tokens that came."""
-        self._gaps.setdefault(runner_id, _speed(gap_s)).add(gap_s)
-        self._all_gaps.add(gap_s)
+        self._gaps.setdefault(runner_id, _new_gap(gap_s)).add(gap_s)
+        self._fleet_gap.add(gap_s)
 
     def answer_tokens(self, model: str, max_tokens: int) -> float:
         """Return the expected length of an answer."""
-        known = self._answers.get(model)
-        share = known.value if known else PRIOR_ANSWER_SHARE
+        estimate = self._answers.get(model)
+        share = estimate.value if estimate else PRIOR_ANSWER_SHARE
         return max(1.0, share * max_tokens)
 
-    def saw_answer(self, model: str, max_tokens: int, tokens: int) -> None:
+    def record_answer(self, model: str, max_tokens: int, tokens: int) -> None:
         """Learn from a whole answer."""
-        known = self._answers.setdefault(
+        estimate = self._answers.setdefault(
             model,
             smoothed.Smoothed(prior=PRIOR_ANSWER_SHARE, weight=ANSWER_WEIGHT),
         )
-        known.add(tokens / max(1, max_tokens))
+        estimate.add(tokens / max(1, max_tokens))
 
     def hold_s(self, model: str, max_tokens: int) -> float:
         """Time that a request holds a decode slot."""
-        return self.answer_tokens(model, max_tokens) * self._all_gaps.value
+        return self.answer_tokens(model, max_tokens) * self._fleet_gap.value
 
 
-def _speed(prior: float) -> smoothed.Smoothed:
+def _new_gap(prior: float) -> smoothed.Smoothed:
     return smoothed.Smoothed(prior=prior, weight=RUNNER_WEIGHT)
--- a/limpetroute/decisions/prefill_placement.py
+++ b/limpetroute/decisions/prefill_placement.py
@@ -22,8 +22,8 @@
 from limpetroute.decisions import runner_state
 from limpetroute.decisions import work
 
-PIPELINE_S = 0.02
-QUEUE_S = 0.15
+MAX_SENT_S = 0.02
+MAX_SENT_CACHED_S = 0.15
 CANDIDATES = 4
 
 
@@ -33,8 +33,8 @@
 
     state: runner_state.RunnerState
     expected_cached: float
-    read_s: float
-    done_in_s: float
+    prefill_s: float
+    prefill_done_in_s: float
 
 
 def choose(
@@ -44,8 +44,8 @@
     predictor: predictor_module.Predictor,
     item: work.Work,
     tokens: int,
-    tried: set[tuple[str, int]],
-    barred: str | None,
+    failed_runners: set[tuple[str, int]],
+    excluded_id: str | None,
     now_s: float,
 ) -> PrefillChoice | None:
     """Return the runner that is done first, or None while all are full.
@@ -61,7 +61,7 @@
     """
     best: PrefillChoice | None = None
     role = runner_facts.Role.PREFILL
-    states = list(fleet.best(role, item.model, CANDIDATES))
+    states = list(fleet.least_loaded(role, item.model, CANDIDATES))
     holders = index.holders(item.prefix_blocks) if index else []
     for runner_id in holders:
         held = fleet.runners.get(runner_id)
@@ -70,28 +70,35 @@
         if item.model in held.facts.models and held.facts.role is role:
             states.append(held)
     for state in states:
-        if state.runner_id == barred or state.paused_until_s > now_s:
+        if state.runner_id == excluded_id or state.paused_until_s > now_s:
             continue
-        if (state.runner_id, state.facts.incarnation) in tried:
+        if (state.runner_id, state.facts.incarnation) in failed_runners:
             continue
-        limit_s = QUEUE_S if state.runner_id in holders else PIPELINE_S
-        if state.outstanding and state.outstanding_s > limit_s:
+        limit_s = (
+            MAX_SENT_CACHED_S if state.runner_id in holders else MAX_SENT_S
+        )
+        if (
+            state.outstanding_prefills
+            and state.outstanding_prefill_s > limit_s
+        ):
             continue
         cached = 0.0
         if index is not None:
             cached = index.expected_tokens(
                 state.runner_id, item.prefix_blocks, now_s
             )
-        read_s = predictor.prefill_s(
+        prefill_s = predictor.prefill_s(
             state.runner_id, max(1.0, tokens - cached)
         )
-        wait_s = state.outstanding_s + predictor.wait_s(state.runner_id)
-        done_in_s = wait_s + read_s
-        if best is None or done_in_s < best.done_in_s:
+        wait_s = state.outstanding_prefill_s + predictor.foreign_wait_s(
+            state.runner_id
+        )
+        prefill_done_in_s = wait_s + prefill_s
+        if best is None or prefill_done_in_s < best.prefill_done_in_s:
             best = PrefillChoice(
                 state=state,
                 expected_cached=cached,
-                read_s=read_s,
-                done_in_s=done_in_s,
+                prefill_s=prefill_s,
+                prefill_done_in_s=prefill_done_in_s,
             )
     return best
--- a/limpetroute/decisions/prefix_index.py
+++ b/limpetroute/decisions/prefix_index.py
@@ -31,7 +31,7 @@
         self._by_runner: dict[str, collections.OrderedDict[int, None]] = {}
         self.accuracy = smoothed.Smoothed(prior=1.0, weight=ACCURACY_WEIGHT)
 
-    def stored(
+    def add(
         self, runner_id: str, blocks: typing.Iterable[int], now_s: float
     ) -> None:
         """Note blocks held by a runner."""
@@ -44,7 +44,7 @@
             block, _ = held.popitem(last=False)
             self._drop(runner_id, block)
 
-    def evicted(self, runner_id: str, blocks: typing.Iterable[int]) -> None:
+    def remove(self, runner_id: str, blocks: typing.Iterable[int]) -> None:
         """Note blocks no longer held."""
         held = self._by_runner.get(runner_id)
         if held is None:
@@ -54,7 +54,7 @@
                 del held[block]
                 self._drop(runner_id, block)
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop all of a runner that is gone."""
         for block in self._by_runner.pop(runner_id, ()):
             self._drop(runner_id, block)
@@ -83,7 +83,9 @@
         trust = 0.5 ** (age_s / HALF_LIFE_S) * min(1.0, self.accuracy.value)
         return depth * BLOCK_TOKENS * trust
 
-    def found(self, expected_tokens: float, cached_tokens: int) -> None:
+    def record_accuracy(
+        self, expected_tokens: float, cached_tokens: int
+    ) -> None:
         """Learn from what a prefill found cached."""
         if expected_tokens >= BLOCK_TOKENS:
             self.accuracy.add(min(1.0, cached_tokens / expected_tokens))
--- a/limpetroute/decisions/reservation.py
+++ b/limpetroute/decisions/reservation.py
@@ -17,18 +17,18 @@
 thrown away (one seed; 0.2% with it, 0.0% at 1 but with less goodput).
 """
 
-CONFIDENCE = 1.0
+EXPECTED_SLOT_SHARE = 1.0
 MAX_AHEAD_S = 1.0
-MAX_SIZE = 2.0
+MAX_RELATIVE_SIZE = 2.0
 
 
-def may_start_ahead(
+def may_start_unreserved(
     *,
     free_slots: int,
-    unslotted: int,
+    unreserved: int,
     busy_slots: int,
     hold_s: float,
-    done_in_s: float,
+    prefill_done_in_s: float,
 ) -> bool:
     """Whether a prefill may start without holding a slot.
 
@@ -40,9 +40,9 @@
         Prefills under way that hold no slot yet.
     busy_slots : int
         Slots in use, each for ``hold_s`` on average.
-    done_in_s : float
+    prefill_done_in_s : float
         Time until the prefill ends.
     """
-    ahead_s = min(MAX_AHEAD_S, done_in_s)
+    ahead_s = min(MAX_AHEAD_S, prefill_done_in_s)
     expected = busy_slots * ahead_s / max(hold_s, 1e-3)
-    return free_slots + CONFIDENCE * expected >= unslotted + 1
+    return free_slots + EXPECTED_SLOT_SHARE * expected >= unreserved + 1
--- a/limpetroute/decisions/retry_budget.py
+++ b/limpetroute/decisions/retry_budget.py
@@ -8,8 +8,8 @@
 at today's size.
 """
 
-SHARE = 0.1
-RESERVE = 30.0
+RETRY_SHARE = 0.1
+MAX_TOKENS = 30.0
 MAX_ATTEMPTS = 4
 
 
@@ -19,7 +19,7 @@
     __slots__ = ('_tokens',)
 
     def __init__(self) -> None:
-        self._tokens = RESERVE
+        self._tokens = MAX_TOKENS
 
     @property
     def tokens(self) -> float:
@@ -28,7 +28,7 @@
 
     def earn(self) -> None:
         """Count one fresh request."""
-        self._tokens = min(RESERVE, self._tokens + SHARE)
+        self._tokens = min(MAX_TOKENS, self._tokens + RETRY_SHARE)
 
     def spend(self, attempts: int) -> bool:
         """Take a retry, or refuse it."""
--- a/limpetroute/decisions/round_robin.py
+++ b/limpetroute/decisions/round_robin.py
@@ -37,10 +37,10 @@
         '_decodes_in_use',
         '_denied_until_s',
         '_entries',
+        '_last_choice',
         '_out',
         '_queue',
         '_runners',
-        '_turn',
     )
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         self._decodes_in_use: collections.Counter[str] = collections.Counter()
         self._denied_until_s: dict[str, float] = {}
         self._out: list[action.Action] = []
-        self._turn = 0
+        self._last_choice = 0
 
     def configure(
         self, config: policy_config.PolicyConfig, now_s: float
@@ -197,7 +197,7 @@
     def _next(
         self, role: runner_facts.Role, model: str, tried: set[str]
     ) -> runner_facts.RunnerFacts | None:
-        fit = [
+        candidates = [
             facts
             for facts in self._runners.values()
             if facts.role is role
@@ -210,15 +210,15 @@
                 or self._decodes_in_use[facts.runner_id] < facts.slots
             )
         ]
-        if not fit:
+        if not candidates:
             return None
-        return self._choose(fit)
+        return self._choose(candidates)
 
     def _choose(
-        self, fit: list[runner_facts.RunnerFacts]
+        self, candidates: list[runner_facts.RunnerFacts]
     ) -> runner_facts.RunnerFacts:
-        self._turn += 1
-        return fit[self._turn % len(fit)]
+        self._last_choice += 1
+        return candidates[self._last_choice % len(candidates)]
 
     def _kv_bytes(self, entry: _Entry) -> int:
         facts = self._runners.get(entry.decode_id or '')
--- a/limpetroute/decisions/runner_state.py
+++ b/limpetroute/decisions/runner_state.py
@@ -20,24 +20,24 @@
         'facts',
         'foreign_bytes',
         'foreign_slots',
-        'free_at_s',
-        'held',
-        'held_bytes',
-        'outstanding',
-        'outstanding_s',
+        'outstanding_prefill_s',
+        'outstanding_prefills',
         'paused_until_s',
+        'prefills_done_s',
+        'reservations',
+        'reserved_bytes',
     )
 
     def __init__(self, *, facts: runner_facts.RunnerFacts) -> None:
         self.facts = facts
-        self.outstanding: dict[str, float] = {}
-        self.outstanding_s = 0.0
-        self.held: dict[str, int] = {}
-        self.held_bytes = 0
+        self.outstanding_prefills: dict[str, float] = {}
+        self.outstanding_prefill_s = 0.0
+        self.reservations: dict[str, int] = {}
+        self.reserved_bytes = 0
         self.foreign_slots = 0
         self.foreign_bytes = 0
         self.paused_until_s = 0.0
-        self.free_at_s = 0.0
+        self.prefills_done_s = 0.0
         self.ejected = False
 
     def __repr__(self) -> str:
@@ -51,12 +51,12 @@
     @property
     def free_slots(self) -> int:
         """Slots that nobody is known to hold."""
-        return self.facts.slots - len(self.held) - self.foreign_slots
+        return self.facts.slots - len(self.reservations) - self.foreign_slots
 
     @property
     def free_bytes(self) -> int:
         """KV memory that nobody is known to hold."""
-        used = self.held_bytes + self.foreign_bytes
+        used = self.reserved_bytes + self.foreign_bytes
         return self.facts.kv_capacity_bytes - used
 
     @property
@@ -67,8 +67,8 @@
     def free_in_s(self, now_s: float) -> float:
         """Time until it may get more of our work, as predicted."""
         until_s = self.paused_until_s
-        if self.outstanding:
-            until_s = max(until_s, self.free_at_s)
+        if self.outstanding_prefills:
+            until_s = max(until_s, self.prefills_done_s)
         return max(0.0, until_s - now_s)
 
     def start_prefill(
@@ -83,24 +83,24 @@
         done_at_s : float
             When it is expected to be done.
         """
-        self.free_at_s = done_at_s
-        self.outstanding[work_id] = seconds
-        self.outstanding_s += seconds
+        self.prefills_done_s = done_at_s
+        self.outstanding_prefills[work_id] = seconds
+        self.outstanding_prefill_s += seconds
 
     def end_prefill(self, work_id: str) -> None:
         """Uncount a prompt; idempotent."""
-        seconds = self.outstanding.pop(work_id, None)
+        seconds = self.outstanding_prefills.pop(work_id, None)
         if seconds is None:
             return
-        self.outstanding_s -= seconds
-        if not self.outstanding:
-            self.outstanding_s = 0.0
+        self.outstanding_prefill_s -= seconds
+        if not self.outstanding_prefills:
+            self.outstanding_prefill_s = 0.0
 
     def fits(self, kv_bytes: int) -> bool:
         """Whether one more request has room."""
         return self.free_slots >= 1 and self.free_bytes >= kv_bytes
 
-    def hold(self, work_id: str, kv_bytes: int) -> None:
+    def reserve(self, work_id: str, kv_bytes: int) -> None:
         """Hold a slot and memory.
 
         Raises
@@ -108,13 +108,13 @@
         ValueError
             If the work holds room here already.
         """
-        if work_id in self.held:
+        if work_id in self.reservations:
             raise ValueError(f'{work_id!r} holds room at {self.runner_id!r}')
-        self.held[work_id] = kv_bytes
-        self.held_bytes += kv_bytes
+        self.reservations[work_id] = kv_bytes
+        self.reserved_bytes += kv_bytes
 
     def release(self, work_id: str) -> None:
         """Give room back; idempotent."""
-        kv_bytes = self.held.pop(work_id, None)
+        kv_bytes = self.reservations.pop(work_id, None)
         if kv_bytes is not None:
-            self.held_bytes -= kv_bytes
+            self.reserved_bytes -= kv_bytes
--- a/limpetroute/decisions/short_lane.py
+++ b/limpetroute/decisions/short_lane.py
@@ -20,21 +20,21 @@
 
 BLOCK_SHARE = 0.5
 SHORT_SHARE = 0.25
-SEEN_S = 10.0
+SHORT_WORK_TTL_S = 10.0
 MEAN_WEIGHT = 0.02
 
 
 class ShortLane:
     """Tells long work from short, by model."""
 
-    __slots__ = ('_mean', '_seen_s', '_slack_s')
+    __slots__ = ('_last_short_s', '_mean_prefill', '_min_slack_s')
 
     def __init__(self) -> None:
-        self._mean = smoothed.Smoothed(prior=0.1, weight=MEAN_WEIGHT)
-        self._seen_s = float('-inf')
-        self._slack_s = float('inf')
+        self._mean_prefill = smoothed.Smoothed(prior=0.1, weight=MEAN_WEIGHT)
+        self._last_short_s = float('-inf')
+        self._min_slack_s = float('inf')
 
-    def saw(self, read_s: float, slack_s: float, now_s: float) -> bool:
+    def classify(self, prefill_s: float, slack_s: float, now_s: float) -> bool:
         """Note a request; return whether it is long.
 
         Parameters
@@ -44,17 +44,17 @@
         slack_s : float
             Time from its arrival to its target.
         """
-        self._mean.add(read_s)
-        long = read_s > SHORT_SHARE * self._mean.value
+        self._mean_prefill.add(prefill_s)
+        long = prefill_s > SHORT_SHARE * self._mean_prefill.value
         if not long:
-            if now_s - self._seen_s > SEEN_S:
-                self._slack_s = slack_s
-            self._slack_s = min(self._slack_s, slack_s)
-            self._seen_s = now_s
+            if now_s - self._last_short_s > SHORT_WORK_TTL_S:
+                self._min_slack_s = slack_s
+            self._min_slack_s = min(self._min_slack_s, slack_s)
+            self._last_short_s = now_s
         return long
 
-    def blocks(self, read_s: float, now_s: float) -> bool:
+    def would_block(self, prefill_s: float, now_s: float) -> bool:
         """Whether work would block a runner for too long."""
-        if now_s - self._seen_s > SEEN_S:
+        if now_s - self._last_short_s > SHORT_WORK_TTL_S:
             return False
-        return read_s > BLOCK_SHARE * self._slack_s
+        return prefill_s > BLOCK_SHARE * self._min_slack_s
--- a/limpetroute/decisions/transfer_budget.py
+++ b/limpetroute/decisions/transfer_budget.py
@@ -18,42 +18,44 @@
 PRIOR_BYTES_PER_S = 5e9
 RATE_WEIGHT = 0.1
 TIMEOUT_FACTOR = 4.0
-LEAST_FACTOR = 1.5
+MIN_TIMEOUT_FACTOR = 1.5
 MIN_TIMEOUT_S = 0.4
 MAX_TIMEOUT_S = 2.0
 
-Route = tuple[str, str]
+Link = tuple[str, str]
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Move:
-    route: Route
+class _Transfer:
+    link: Link
     kv_bytes: int
-    ahead_bytes: int
-    began_s: float
+    in_flight_at_start_bytes: int
+    started_s: float
 
 
 class TransferBudget:
     """Bytes under way and learned rates, by pair of zones."""
 
-    __slots__ = ('_moves', '_rates', '_under_way')
+    __slots__ = ('_in_flight', '_rates', '_transfers')
 
     def __init__(self) -> None:
-        self._moves: dict[str, _Move] = {}
-        self._rates: dict[Route, smoothed.Smoothed] = {}
-        self._under_way: dict[Route, int] = {}
+        self._transfers: dict[str, _Transfer] = {}
+        self._rates: dict[Link, smoothed.Smoothed] = {}
+        self._in_flight: dict[Link, int] = {}
 
     @property
-    def under_way_bytes(self) -> int:
+    def in_flight_bytes(self) -> int:
         """Bytes of all transfers that have not ended."""
-        return sum(self._under_way.values())
+        return sum(self._in_flight.values())
 
-    def predict_s(self, route: Route, kv_bytes: int) -> float:
+    def predict_s(self, link: Link, kv_bytes: int) -> float:
         """Time until a transfer started now would end."""
-        total = self._under_way.get(route, 0) + kv_bytes
-        return total / self._rate(route)
+        total = self._in_flight.get(link, 0) + kv_bytes
+        return total / self._rate(link)
 
-    def timeout_s(self, route: Route, kv_bytes: int, left_s: float) -> float:
+    def timeout_s(
+        self, link: Link, kv_bytes: int, remaining_s: float
+    ) -> float:
         """When to abandon a transfer started now.
 
         Parameters
@@ -62,48 +64,53 @@
             How long the result can still be sent elsewhere. A transfer
             that ought to be over by then is abandoned in time for it.
         """
-        predicted_s = self.predict_s(route, kv_bytes)
+        predicted_s = self.predict_s(link, kv_bytes)
         limit_s = TIMEOUT_FACTOR * predicted_s
-        if LEAST_FACTOR * predicted_s < left_s < limit_s:
-            limit_s = left_s
+        if MIN_TIMEOUT_FACTOR * predicted_s < remaining_s < limit_s:
+            limit_s = remaining_s
         return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, limit_s))
 
     def start(
-        self, work_id: str, route: Route, kv_bytes: int, now_s: float
+        self, work_id: str, link: Link, kv_bytes: int, now_s: float
     ) -> None:
         """Count a transfer."""
         self._end(work_id)
-        total = self._under_way.get(route, 0) + kv_bytes
-        self._under_way[route] = total
-        self._moves[work_id] = _Move(
-            route=route, kv_bytes=kv_bytes, ahead_bytes=total, began_s=now_s
+        total = self._in_flight.get(link, 0) + kv_bytes
+        self._in_flight[link] = total
+        self._transfers[work_id] = _Transfer(
+            link=link,
+            kv_bytes=kv_bytes,
+            in_flight_at_start_bytes=total,
+            started_s=now_s,
         )
 
-    def arrived(self, work_id: str, now_s: float) -> None:
+    def complete(self, work_id: str, now_s: float) -> None:
         """Uncount a transfer and learn its link's rate."""
-        move = self._end(work_id)
-        if move is None or now_s <= move.began_s:
+        transfer = self._end(work_id)
+        if transfer is None or now_s <= transfer.started_s:
             return
         rate = self._rates.setdefault(
-            move.route,
+            transfer.link,
             smoothed.Smoothed(prior=PRIOR_BYTES_PER_S, weight=RATE_WEIGHT),
         )
-        rate.add(move.ahead_bytes / (now_s - move.began_s))
+        rate.add(
+            transfer.in_flight_at_start_bytes / (now_s - transfer.started_s)
+        )
 
     def abandon(self, work_id: str) -> None:
         """Uncount a transfer that did not arrive; idempotent."""
         self._end(work_id)
 
-    def _rate(self, route: Route) -> float:
-        known = self._rates.get(route)
+    def _rate(self, link: Link) -> float:
+        known = self._rates.get(link)
         return known.value if known else PRIOR_BYTES_PER_S
 
-    def _end(self, work_id: str) -> _Move | None:
-        move = self._moves.pop(work_id, None)
-        if move is None:
+    def _end(self, work_id: str) -> _Transfer | None:
+        transfer = self._transfers.pop(work_id, None)
+        if transfer is None:
             return None
-        left = self._under_way[move.route] - move.kv_bytes
-        self._under_way[move.route] = left
-        if left == 0:
-            del self._under_way[move.route]
-        return move
+        remaining_bytes = self._in_flight[transfer.link] - transfer.kv_bytes
+        self._in_flight[transfer.link] = remaining_bytes
+        if remaining_bytes == 0:
+            del self._in_flight[transfer.link]
+        return transfer
--- a/limpetroute/decisions/two_choices.py
+++ b/limpetroute/decisions/two_choices.py
@@ -25,8 +25,10 @@
         self._random = random
 
     def _choose(
-        self, fit: list[runner_facts.RunnerFacts]
+        self, candidates: list[runner_facts.RunnerFacts]
     ) -> runner_facts.RunnerFacts:
         return min(
-            self._random.choice(fit), self._random.choice(fit), key=self._load
+            self._random.choice(candidates),
+            self._random.choice(candidates),
+            key=self._load,
         )
--- a/limpetroute/decisions/least_of.py
+++ b/limpetroute/decisions/window_minimum.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class LeastOf:
+class WindowMinimum:
     """Follows a value of which samples only ever show too much.
 
     Parameters
--- a/tests/decisions/test_parts.py
+++ b/tests/decisions/test_parts.py
@@ -3,12 +3,12 @@
 import pytest
 
 from limpetroute.decisions import admission
-from limpetroute.decisions import comeback
 from limpetroute.decisions import ejection
 from limpetroute.decisions import fair_queue
 from limpetroute.decisions import fleet as fleet_module
 from limpetroute.decisions import prefix_index
 from limpetroute.decisions import retry_budget
+from limpetroute.decisions import retry_promises
 from limpetroute.decisions import runner_facts
 from limpetroute.decisions import smoothed
 from limpetroute.decisions import transfer_budget
@@ -127,10 +127,10 @@
     queue = fair_queue.FairQueue(shares={})
     for number in range(6):
         queue.add(queued(number, team='heavy' if number < 4 else 'light'))
-    assert queue.heaviest().work_id == 'w3'
+    assert queue.newest_of_heaviest_team().work_id == 'w3'
     for number in (0, 1, 2, 3):
         queue.discard(f'w{number}')
-    assert queue.heaviest().team == 'light'
+    assert queue.newest_of_heaviest_team().team == 'light'
 
 
 @hypothesis.given(st.lists(st.booleans(), max_size=400))
@@ -144,7 +144,7 @@
             continue
         retries += budget.spend(1)
         assert budget.tokens >= 0
-    most = retry_budget.RESERVE + retry_budget.SHARE * fresh
+    most = retry_budget.MAX_TOKENS + retry_budget.RETRY_SHARE * fresh
     assert retries <= most
 
 
@@ -163,31 +163,36 @@
             budget.start(work_id, ('a', 'b'), size, float(number))
             moving[work_id] = size
         elif what == 1:
-            budget.arrived(work_id, float(number))
+            budget.complete(work_id, float(number))
             moving.pop(work_id, None)
         else:
             budget.abandon(work_id)
             moving.pop(work_id, None)
-        assert budget.under_way_bytes == sum(moving.values())
+        assert budget.in_flight_bytes == sum(moving.values())
 
 
 def test_stalled_transfer_ends_while_its_result_lives():
     budget = transfer_budget.TransferBudget()
-    route = ('a', 'b')
+    link = ('a', 'b')
     predicted_s = 0.3
     size = int(predicted_s * transfer_budget.PRIOR_BYTES_PER_S)
-    assert budget.timeout_s(route, size, 0.7) == pytest.approx(0.7)
+    assert budget.timeout_s(link, size, 0.7) == pytest.approx(0.7)
     # One that cannot be over by then gets its time.
-    assert budget.timeout_s(route, 4 * size, 0.7) > 4 * predicted_s
+    assert budget.timeout_s(link, 4 * size, 0.7) > 4 * predicted_s
 
 
 def test_appointments_are_spaced_and_kept():
     # Ten callers are refused at once. Told the same second they would
     # all be refused again; each gets a time of its own instead.
-    book = comeback.Comeback()
+    promises = retry_promises.RetryPromises()
     waits = [
-        book.promise(
-            team='a', key=f'k{n}', cost_s=0.2, rate=1.0, least_s=0, now_s=0
+        promises.promise(
+            team='a',
+            key=f'k{n}',
+            cost_s=0.2,
+            drain_rate=1.0,
+            min_wait_s=0,
+            now_s=0,
         )
         for n in range(10)
     ]
@@ -195,84 +200,90 @@
         after - before for before, after in zip(waits, waits[1:], strict=False)
     ]
     assert min(gaps) >= 0.2
-    assert book.kept(
-        team='a', key='k3', returning=False, behind=False, now_s=waits[3]
+    assert promises.redeem(
+        team='a', key='k3', returning=False, over_share=False, now_s=waits[3]
     )
-    assert not book.kept(
-        team='a', key='k3', returning=False, behind=False, now_s=waits[3]
+    assert not promises.redeem(
+        team='a', key='k3', returning=False, over_share=False, now_s=waits[3]
     )
-    assert not book.kept(
-        team='a', key='fresh', returning=False, behind=False, now_s=waits[3]
+    assert not promises.redeem(
+        team='a',
+        key='fresh',
+        returning=False,
+        over_share=False,
+        now_s=waits[3],
     )
-    book.advance(1000.0)
-    assert len(book) == 0
-    assert book.due_cost_s == 0
+    promises.advance(1000.0)
+    assert len(promises) == 0
+    assert promises.due_cost_s == 0
 
 
 def test_margin_settles_at_the_share_of_misses():
     margin = admission.Margin()
     for number in range(5000):
-        margin.saw(missed=margin.value_s(1.0) < 0.3 and number % 2 == 0)
+        margin.record_outcome(
+            missed=margin.value_s(1.0) < 0.3 and number % 2 == 0
+        )
     assert margin.value_s(1.0) == pytest.approx(0.31, abs=0.05)
 
 
 def test_hopeless_target_is_not_refused_for_ever():
     # A dossier takes 1.5 s to read; the target is 1 s.
     limit_s = admission.limit_s(
-        arrived_s=0.0, first_token_by_s=1.0, idle_s=1.5
+        arrived_s=0.0, first_token_by_s=1.0, idle_first_token_s=1.5
     )
     assert limit_s > 1.5
 
 
-def ejected(values):
+def eject(values):
     fleet = fleet_module.Fleet()
-    judge = ejection.Ejection()
-    figures = {}
+    ejections = ejection.Ejection()
+    estimates = {}
     for name, value in values.items():
         fleet.add(decode(name))
-        figures[name] = smoothed.Smoothed(prior=0.0, weight=1.0)
+        estimates[name] = smoothed.Smoothed(prior=0.0, weight=1.0)
         for _ in range(ejection.MIN_SAMPLES):
-            figures[name].add(value)
+            estimates[name].add(value)
     for name in values:
-        judge.judge(
+        ejections.evaluate(
             fleet=fleet,
             state=fleet.runners[name],
-            figures=figures,
+            estimates=estimates,
             now_s=0.0,
         )
-    return judge, fleet
+    return ejections, fleet
 
 
 def test_slow_runner_is_out_and_comes_back():
-    judge, fleet = ejected({'a': 0.02, 'b': 0.02, 'c': 0.1, 'd': 0.02})
-    assert judge.out == {'c'}
-    assert judge.probe(fleet, ejection.OUT_S) == ['c']
+    ejections, fleet = eject({'a': 0.02, 'b': 0.02, 'c': 0.1, 'd': 0.02})
+    assert ejections.ejected == {'c'}
+    assert ejections.readmit(fleet, ejection.EJECTION_S) == ['c']
     assert fleet.runners['c'].usable
 
 
 def test_few_are_out_at_a_time():
     values = {f'r{n}': 0.1 if n < 4 else 0.02 for n in range(9)}
-    judge, _ = ejected(values)
-    assert 1 <= len(judge.out) <= 2
+    ejections, _ = eject(values)
+    assert 1 <= len(ejections.ejected) <= 2
 
 
 def test_slow_pool_is_not_a_fault():
-    judge, _ = ejected({'a': 0.1, 'b': 0.11, 'c': 0.12})
-    assert not judge.out
+    ejections, _ = eject({'a': 0.1, 'b': 0.11, 'c': 0.12})
+    assert not ejections.ejected
 
 
 def test_prefix_is_believed_less_with_age():
     index = prefix_index.PrefixIndex()
-    index.stored('p', range(10), 0.0)
+    index.add('p', range(10), 0.0)
     fresh = index.expected_tokens('p', tuple(range(20)), 0.0)
     old = index.expected_tokens(
         'p', tuple(range(20)), prefix_index.HALF_LIFE_S
     )
     assert fresh == 10 * prefix_index.BLOCK_TOKENS
     assert old == pytest.approx(fresh / 2)
-    index.evicted('p', range(5, 10))
+    index.remove('p', range(5, 10))
     assert index.expected_tokens('p', tuple(range(20)), 0.0) == fresh / 2
-    index.forget('p')
+    index.remove_runner('p')
     assert index.holders(tuple(range(20))) == []
 
 
@@ -283,16 +294,16 @@
         fleet.add(decode(name))
     for number, pick in enumerate(steps):
         state = fleet.runners['abcd'[pick % 4]]
-        if f'w{pick}' in state.held:
+        if f'w{pick}' in state.reservations:
             state.release(f'w{pick}')
         else:
-            state.hold(f'w{pick}', number)
+            state.reserve(f'w{pick}', number)
             with pytest.raises(ValueError, match='holds room'):
-                state.hold(f'w{pick}', number)
-        fleet.moved(state)
+                state.reserve(f'w{pick}', number)
+        fleet.reorder(state)
     free = [
         state.free_slots
-        for state in fleet.best(runner_facts.Role.DECODE, 'm', 4)
+        for state in fleet.least_loaded(runner_facts.Role.DECODE, 'm', 4)
     ]
     assert free == sorted(free, reverse=True)
     assert len(free) == 4
--- a/tests/decisions/test_policy_machine.py
+++ b/tests/decisions/test_policy_machine.py
@@ -47,7 +47,7 @@
         self.items = {}
         self.phase = {}
         self.held = {}
-        self.read_s = {}
+        self.prefilled_s = {}
         self.failures = set()
 
     @stateful.initialize(objective=st.sampled_from(policy_config.Objective))
@@ -70,7 +70,7 @@
                 if self.phase[work_id] == 'prefilled':
                     # A prompt is read again only if nobody could take
                     # its result in time, or a transfer of it failed.
-                    age_s = self.now_s - self.read_s[work_id]
+                    age_s = self.now_s - self.prefilled_s[work_id]
                     dead = age_s >= RESULT_AGE_S
                     assert dead or work_id in self.failures, 'dropped'
                     self.failures.add(work_id)
@@ -142,7 +142,7 @@
             if self.phase.get(work_id) != 'prefill':
                 continue
             self.phase[work_id] = 'prefilled'
-            self.read_s[work_id] = self.now_s
+            self.prefilled_s[work_id] = self.now_s
             self.policy.on_prefill_done(work_id, 0, self.now_s)
             self.pump()
 
@@ -151,7 +151,7 @@
         work_id = self.some(data, 'prefill')
         if work_id is not None:
             self.phase[work_id] = 'prefilled'
-            self.read_s[work_id] = self.now_s
+            self.prefilled_s[work_id] = self.now_s
             self.policy.on_prefill_done(work_id, 0, self.now_s)
             self.pump()
 
@@ -264,9 +264,9 @@
             return
         assert self.policy.retry_tokens >= 0
         for state in self.policy.runners.values():
-            assert len(state.held) <= SLOTS
-            assert 0 <= state.held_bytes <= CAPACITY
-            assert state.outstanding_s >= -1e-9
+            assert len(state.reservations) <= SLOTS
+            assert 0 <= state.reserved_bytes <= CAPACITY
+            assert state.outstanding_prefill_s >= -1e-9
 
     def teardown(self):
         if not hasattr(self, 'policy'):
