--- a/limpetroute/cli/control.py
+++ b/limpetroute/cli/control.py
@@ -22,8 +22,8 @@
 from limpetroute.cli import serving
 from limpetroute.control import folder_error
 from limpetroute.control import metrics_part
-from limpetroute.control import part
 from limpetroute.control import server
+from limpetroute.control import server_component
 from limpetroute.dispatch import part as dispatch_part
 from limpetroute.platform import control_port
 from limpetroute.platform import orders
@@ -48,7 +48,7 @@
 def _make(
     settings: control_settings.ControlSettings,
 ) -> server.ControlServer:
-    parts: list[part.MakePart] = []
+    parts: list[server_component.MakeComponent] = []
     if settings.public_listen is not None:
         parts = [
             functools.partial(
@@ -64,7 +64,7 @@
                 metrics_part.MetricsPart, listen=settings.metrics
             )
         )
-    return server.ControlServer(settings=settings, make_parts=parts)
+    return server.ControlServer(settings=settings, make_components=parts)
 
 
 def _print_ready(control: server.ControlServer) -> None:
--- a/limpetroute/control/server.py
+++ b/limpetroute/control/server.py
@@ -14,11 +14,11 @@
 from limpetroute.control import files as files_module
 from limpetroute.control import manifest_handler
 from limpetroute.control import node as node_module
-from limpetroute.control import part as part_module
 from limpetroute.control import peer_handlers
 from limpetroute.control import quarantine_handlers
 from limpetroute.control import routes_handlers
 from limpetroute.control import seeds
+from limpetroute.control import server_component
 from limpetroute.control import watch_handler
 from limpetroute.wire import token_guard
 
@@ -36,7 +36,7 @@
         Most writes in one sync; None for all that wait.
     files : Files or None
         The file system; None for the host's own.
-    make_parts : sequence of MakePart
+    make_components : sequence of MakeComponent
         Make what runs beside the node.
 
     Raises
@@ -51,10 +51,10 @@
         settings: control_settings.ControlSettings,
         max_batch: int | None = None,
         files: files_module.Files | None = None,
-        make_parts: typing.Sequence[part_module.MakePart] = (),
+        make_components: typing.Sequence[server_component.MakeComponent] = (),
     ) -> None:
-        self._make_parts = make_parts
-        self._parts: list[part_module.Part] = []
+        self._make_components = make_components
+        self._components: list[server_component.ServerComponent] = []
         self.settings = settings
         self.port = 0
         self.node: node_module.Node | None = None
@@ -106,10 +106,10 @@
             max_batch=self._max_batch,
         )
         self.node = node
-        self._parts = [make(node=node) for make in self._make_parts]
+        self._components = [make(node=node) for make in self._make_components]
         routes = _routes(node)
-        for part in self._parts:
-            routes.extend(part.routes())
+        for component in self._components:
+            routes.extend(component.routes())
         self._server = tornado.httpserver.HTTPServer(
             token_guard.GuardedApplication(
                 routes, tokens=self.settings.credentials().tokens
@@ -119,14 +119,14 @@
         )
         node.start()
         self._server.add_sockets(sockets)
-        for part in self._parts:
-            part.start()
+        for component in self._components:
+            component.start()
         LOG.info('control %s on port %d', self.settings.host_id, self.port)
 
     async def stop(self) -> None:
         """Close the port and end."""
-        for part in self._parts:
-            part.stop()
+        for component in self._components:
+            component.stop()
         if self._server is not None:
             self._server.stop()
             await self._server.close_all_connections()
--- a/limpetroute/control/part.py
+++ b/limpetroute/control/server_component.py
@@ -7,7 +7,7 @@
 from limpetroute.control import node as node_module
 
 
-class Part(typing.Protocol):
+class ServerComponent(typing.Protocol):
     """Something that runs beside a control host's node."""
 
     def routes(self) -> list[web.URLSpec]:
@@ -20,8 +20,8 @@
         """End."""
 
 
-class MakePart(typing.Protocol):
+class MakeComponent(typing.Protocol):
     """Makes a part."""
 
-    def __call__(self, *, node: node_module.Node) -> Part:
+    def __call__(self, *, node: node_module.Node) -> ServerComponent:
         """Make it."""
