--- a/limpetroute/cli/control.py
+++ b/limpetroute/cli/control.py
@@ -24,7 +24,7 @@
 from limpetroute.control import metrics_part
 from limpetroute.control import server
 from limpetroute.control import server_component
-from limpetroute.dispatch import part as dispatch_part
+from limpetroute.dispatch import dispatch_component
 from limpetroute.platform import control_port
 from limpetroute.platform import orders
 
@@ -55,7 +55,7 @@
                 control_port.ControlPort, listen=settings.public_listen
             ),
             functools.partial(
-                dispatch_part.DispatchPart, dialect=orders.Orders()
+                dispatch_component.DispatchComponent, dialect=orders.Orders()
             ),
         ]
     if settings.metrics is not None:
--- a/limpetroute/dispatch/part.py
+++ b/limpetroute/dispatch/dispatch_component.py
@@ -8,7 +8,7 @@
 from limpetroute.dispatch import place_handlers
 
 
-class DispatchPart:
+class DispatchComponent:
     """The dispatcher as a part of a control process.
 
     Parameters
