--- a/limpetroute/cli/control.py
+++ b/limpetroute/cli/control.py
@@ -21,7 +21,7 @@
 from limpetroute.cli import exit_code
 from limpetroute.cli import serving
 from limpetroute.control import folder_error
-from limpetroute.control import metrics_part
+from limpetroute.control import metrics_component
 from limpetroute.control import server
 from limpetroute.control import server_component
 from limpetroute.dispatch import dispatch_component
@@ -61,7 +61,7 @@
     if settings.metrics is not None:
         parts.append(
             functools.partial(
-                metrics_part.MetricsPart, listen=settings.metrics
+                metrics_component.MetricsComponent, listen=settings.metrics
             )
         )
     return server.ControlServer(settings=settings, make_components=parts)
--- a/limpetroute/control/metrics_part.py
+++ b/limpetroute/control/metrics_component.py
@@ -23,7 +23,7 @@
         self.finish(self._text() or b'')
 
 
-class MetricsPart:
+class MetricsComponent:
     """A control host's metrics, on a port of their own.
 
     Parameters
--- a/tests/control/test_metrics.py
+++ b/tests/control/test_metrics.py
@@ -1,7 +1,7 @@
 import asyncio
 
 from limpetroute.border import listen_settings
-from limpetroute.control import metrics_part
+from limpetroute.control import metrics_component
 from limpetroute.wire import caller
 from tests.control import control_fleet
 from tests.control import seed_fleet
@@ -12,7 +12,7 @@
         fleet = seed_fleet.SeedFleet(tmp_path, ['127.0.0.41'], 0)
         fleet.start('127.0.0.41')
         port = control_fleet.free_port()
-        part = metrics_part.MetricsPart(
+        part = metrics_component.MetricsComponent(
             node=fleet.servers['127.0.0.41'].node,
             listen=listen_settings.ListenSettings(port=port),
         )
