--- a/limpetroute/control/desk.py
+++ b/limpetroute/control/command_submitter.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Unsure:
+class Unconfirmed:
     """Nothing can be said for certain; another try may settle it."""
 
     reason: str
@@ -37,7 +37,7 @@
     service: str
 
 
-class Desk:
+class CommandSubmitter:
     """Takes operators' and runners' calls on any control host.
 
     Parameters
@@ -70,15 +70,15 @@
 
     async def submit_routes(
         self, *, version: int, digest: str, text: str
-    ) -> routes_store.RoutesTaken | Unsure:
+    ) -> routes_store.RoutesTaken | Unconfirmed:
         """Have a routing configuration committed."""
         if not self._node.is_full():
-            return Unsure(reason='the group is not complete yet')
+            return Unconfirmed(reason='the group is not complete yet')
         command = commands.SubmitRoutes(
             version=version, digest=digest, text=text
         )
         got = await self._commit(command)
-        if isinstance(got, Unsure):
+        if isinstance(got, Unconfirmed):
             outcome = got.reason
         else:
             outcome = 'in force' if got.get('in_force') else 'not newer'
@@ -91,7 +91,7 @@
                 'outcome': outcome,
             },
         )
-        if isinstance(got, Unsure):
+        if isinstance(got, Unconfirmed):
             return got
         return routes_store.RoutesTaken(
             version=version,
@@ -101,32 +101,32 @@
 
     async def newest_routes(
         self,
-    ) -> routes_store.RoutesInForce | Unsure:
+    ) -> routes_store.RoutesInForce | Unconfirmed:
         """Return the routing configuration in force, if that is sure."""
         node = self._node
         group = node.config
         if group.replica.can_read(node.now_s):
             if group.state.routes is None:
-                return Unsure(reason='no configuration yet')
+                return Unconfirmed(reason='no configuration yet')
             return group.state.routes
         leader_url = node.url_of(group.leader_host)
         if not leader_url or group.leader_host == node.settings.host_id:
-            return Unsure(reason='no leader is known')
+            return Unconfirmed(reason='no leader is known')
         got = await self._http.call(
             method='GET',
             url=f'{leader_url}/v1/routes/newest',
             timeout_s=COMMIT_TIMEOUT_S,
         )
         if isinstance(got, call_failed.CallFailed) or not got.ok:
-            return Unsure(reason='the leader cannot be asked')
+            return Unconfirmed(reason='the leader cannot be asked')
         body = got.json()
         if not body['digest']:
-            return Unsure(reason='no configuration yet')
+            return Unconfirmed(reason='no configuration yet')
         return await self._own_routes(body['version'], body['digest'])
 
     async def _own_routes(
         self, version: int, digest: str
-    ) -> routes_store.RoutesInForce | Unsure:
+    ) -> routes_store.RoutesInForce | Unconfirmed:
         """Return the configuration that the leader names, as applied here.
 
         The leader only names it: sent whole by the leader, the answer
@@ -143,18 +143,18 @@
                         break
                     await changed.wait()
         except TimeoutError:
-            return Unsure(reason='this host has not caught up')
+            return Unconfirmed(reason='this host has not caught up')
         if routes.version == version and routes.digest != digest:
             LOG.error(
                 'routes differ from the leader',
                 extra={'version': version, 'digest': routes.digest},
             )
-            return Unsure(reason='this host holds another document')
+            return Unconfirmed(reason='this host holds another document')
         return routes
 
     async def note_runner(
         self, command: commands.NoteRunner, service: str
-    ) -> results.Done | Unsure | UnknownService:
+    ) -> results.Done | Unconfirmed | UnknownService:
         """Take a runner's announcement.
 
         One for a service that the configuration in force does not name
@@ -169,7 +169,7 @@
         node = self._node
         group = node.config
         if not group.replica.in_touch(node.now_s):
-            return Unsure(reason='out of touch with the group')
+            return Unconfirmed(reason='out of touch with the group')
         named = await self._named_services()
         if named and service not in named:
             LOG.warning(
@@ -191,11 +191,11 @@
                 'outcome': _said(got),
             },
         )
-        return got if isinstance(got, Unsure) else results.Done()
+        return got if isinstance(got, Unconfirmed) else results.Done()
 
     async def forget_runner(
         self, command: commands.ForgetRunner
-    ) -> results.Done | Unsure:
+    ) -> results.Done | Unconfirmed:
         """Take a runner's farewell."""
         runners = self._node.config.state.runners
         if not runners.may_leave(command.runner_id, command.started_ms):
@@ -209,7 +209,7 @@
                 'outcome': _said(got),
             },
         )
-        return got if isinstance(got, Unsure) else results.Done()
+        return got if isinstance(got, Unconfirmed) else results.Done()
 
     async def _named_services(self) -> frozenset[str]:
         """Return the services of the configuration in force."""
@@ -225,17 +225,17 @@
 
     async def _commit(
         self, command: commands.Command
-    ) -> dict[str, typing.Any] | Unsure:
+    ) -> dict[str, typing.Any] | Unconfirmed:
         """Commit here, or at the leader, and return the result's fields."""
         node = self._node
         verdict = await node.config.commit(command, COMMIT_TIMEOUT_S)
         if isinstance(verdict, verdicts.Committed):
             return dataclasses.asdict(verdict.result)
         if isinstance(verdict, verdicts.Unknown):
-            return Unsure(reason=verdict.reason)
+            return Unconfirmed(reason=verdict.reason)
         leader_url = node.url_of(verdict.leader_host)
         if not leader_url or verdict.leader_host == node.settings.host_id:
-            return Unsure(reason=verdict.reason)
+            return Unconfirmed(reason=verdict.reason)
         data = commands.encode(command)
         # The leader has what the time for small changes leaves once a
         # large one has got there; cut on the way, it would be sent again
@@ -248,12 +248,12 @@
             timeout_s=COMMIT_TIMEOUT_S + sending_s,
         )
         if isinstance(got, call_failed.CallFailed):
-            return Unsure(reason=f'the leader: {got.kind.value}')
+            return Unconfirmed(reason=f'the leader: {got.kind.value}')
         if not got.ok:
-            return Unsure(reason=f'the leader refused with {got.status}')
+            return Unconfirmed(reason=f'the leader refused with {got.status}')
         body: dict[str, typing.Any] = got.json()
         return body
 
 
-def _said(got: dict[str, typing.Any] | Unsure) -> str:
-    return got.reason if isinstance(got, Unsure) else 'committed'
+def _said(got: dict[str, typing.Any] | Unconfirmed) -> str:
+    return got.reason if isinstance(got, Unconfirmed) else 'committed'
--- a/limpetroute/platform/control_port.py
+++ b/limpetroute/platform/control_port.py
@@ -10,7 +10,7 @@
 from tornado import web
 
 from limpetroute.border import listen_settings
-from limpetroute.control import desk as desk_module
+from limpetroute.control import command_submitter
 from limpetroute.control import node as node_module
 from limpetroute.platform import heartbeat_codec
 from limpetroute.platform import routes_codec
@@ -26,10 +26,10 @@
 
 
 class _Handler(web.RequestHandler):
-    def initialize(self, desk: desk_module.Desk) -> None:
+    def initialize(self, desk: command_submitter.CommandSubmitter) -> None:
         self.desk = desk
 
-    def unsure(self, got: desk_module.Unsure) -> None:
+    def unsure(self, got: command_submitter.Unconfirmed) -> None:
         self.set_status(HTTP_UNAVAILABLE)
         self.finish({'reason': got.reason})
 
@@ -55,14 +55,14 @@
             digest=hashlib.sha256(self.request.body).hexdigest(),
             text=self.request.body.decode(),
         )
-        if isinstance(got, desk_module.Unsure):
+        if isinstance(got, command_submitter.Unconfirmed):
             self.unsure(got)
             return
         self.finish({'version': got.version})
 
     async def get(self) -> None:
         got = await self.desk.newest_routes()
-        if isinstance(got, desk_module.Unsure):
+        if isinstance(got, command_submitter.Unconfirmed):
             self.unsure(got)
             return
         self.set_header('Content-Type', 'application/json')
@@ -81,10 +81,10 @@
             self.invalid(str(exc))
             return
         got = await self.desk.note_runner(announced.command, announced.service)
-        if isinstance(got, desk_module.UnknownService):
+        if isinstance(got, command_submitter.UnknownService):
             self.invalid(f'unknown service {got.service!r}')
             return
-        if isinstance(got, desk_module.Unsure):
+        if isinstance(got, command_submitter.Unconfirmed):
             self.unsure(got)
             return
         self.finish({})
@@ -102,7 +102,7 @@
             self.invalid(str(exc))
             return
         got = await self.desk.forget_runner(command)
-        if isinstance(got, desk_module.Unsure):
+        if isinstance(got, command_submitter.Unconfirmed):
             self.unsure(got)
             return
         self.finish({})
@@ -128,7 +128,9 @@
         self._listen = listen
         trust = node.settings.credentials()
         http = caller.Caller(tls=trust.client_tls, token=trust.token)
-        desk = desk_module.Desk(node=node, http=http, read_services=_services)
+        desk = command_submitter.CommandSubmitter(
+            node=node, http=http, read_services=_services
+        )
         args = {'desk': desk}
         self._server = httpserver.HTTPServer(
             web.Application(
--- a/tests/control/seed_fleet.py
+++ b/tests/control/seed_fleet.py
@@ -5,7 +5,7 @@
 import shutil
 
 from limpetroute.border import control_settings
-from limpetroute.control import desk as desk_module
+from limpetroute.control import command_submitter
 from limpetroute.control import server as server_module
 from limpetroute.wire import caller
 from tests.control import control_fleet
@@ -52,9 +52,9 @@
     def lose_disk(self, host):
         shutil.rmtree(self.folder / host)
 
-    def desk(self, host):
+    def submitter(self, host):
         node = self.servers[host].node
-        return desk_module.Desk(
+        return command_submitter.CommandSubmitter(
             node=node,
             http=caller.Caller(),
             read_services=lambda text: frozenset(),
@@ -81,10 +81,10 @@
         """Submit until it is acknowledged."""
         async with asyncio.timeout(WAIT_S):
             while True:
-                got = await self.desk(host).submit_routes(
+                got = await self.submitter(host).submit_routes(
                     version=version, digest=text, text=text
                 )
-                if not isinstance(got, desk_module.Unsure):
+                if not isinstance(got, command_submitter.Unconfirmed):
                     return got
                 await asyncio.sleep(0.05)
 
@@ -92,7 +92,7 @@
         """Read until the answer is sure; its version."""
         async with asyncio.timeout(WAIT_S):
             while True:
-                got = await self.desk(host).newest_routes()
-                if not isinstance(got, desk_module.Unsure):
+                got = await self.submitter(host).newest_routes()
+                if not isinstance(got, command_submitter.Unconfirmed):
                     return dataclasses.asdict(got)['version']
                 await asyncio.sleep(0.05)
--- a/tests/control/test_desk.py
+++ b/tests/control/test_command_submitter.py
@@ -5,9 +5,9 @@
 import random
 import types
 
+from limpetroute.control import command_submitter
 from limpetroute.control import commands
 from limpetroute.control import control_state
-from limpetroute.control import desk as desk_module
 from limpetroute.control import routes_cutter
 from limpetroute.control import verdicts
 from limpetroute.wire import call_failed
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Host:
-    """A control host, as far as a desk looks at it."""
+    """A control host, as far as a submitter reads it."""
 
     config: Group
     now_s: float = 0.0
@@ -43,14 +43,14 @@
     )
 
 
-def make_desk():
+def make_submitter():
     group = Group()
-    desk = desk_module.Desk(
+    submitter = command_submitter.CommandSubmitter(
         node=Host(config=group),
         http=None,
         read_services=lambda parts: frozenset(parts[0].text.split()),
     )
-    return desk, group.state
+    return submitter, group.state
 
 
 def note(runner_id, address, sequence=1):
@@ -71,14 +71,16 @@
     """
 
     async def work():
-        desk, state = make_desk()
+        submitter, state = make_submitter()
         state.apply(
             commands.SubmitRoutes(version=1, digest='d', text='model plain'),
             1,
         )
-        await desk.note_runner(note('i-1', '10.0.0.1:80'), 'model')
-        got = await desk.note_runner(note('i-2', '10.0.0.1:80'), 'nothing')
-        assert got == desk_module.UnknownService(service='nothing')
+        await submitter.note_runner(note('i-1', '10.0.0.1:80'), 'model')
+        got = await submitter.note_runner(
+            note('i-2', '10.0.0.1:80'), 'nothing'
+        )
+        assert got == command_submitter.UnknownService(service='nothing')
         assert [row.runner_id for row in state.runners] == ['i-1']
 
     asyncio.run(work())
@@ -86,8 +88,8 @@
 
 def test_runners_do_not_wait_for_the_first_configuration():
     async def work():
-        desk, state = make_desk()
-        await desk.note_runner(note('i-1', '10.0.0.1:80'), 'model')
+        submitter, state = make_submitter()
+        await submitter.note_runner(note('i-1', '10.0.0.1:80'), 'model')
         assert [row.runner_id for row in state.runners] == ['i-1']
 
     asyncio.run(work())
@@ -95,10 +97,10 @@
 
 def test_a_late_farewell_of_an_earlier_life_takes_no_place_in_the_log():
     async def work():
-        desk, state = make_desk()
+        submitter, state = make_submitter()
         again = dataclasses.replace(note('i-1', '10.0.0.1:80'), started_ms=9)
-        await desk.note_runner(again, 'model')
-        await desk.forget_runner(
+        await submitter.note_runner(again, 'model')
+        await submitter.forget_runner(
             commands.ForgetRunner(runner_id='i-1', started_ms=5)
         )
         assert [row.runner_id for row in state.runners] == ['i-1']
@@ -140,7 +142,7 @@
             )
 
     async def work():
-        desk = desk_module.Desk(
+        submitter = command_submitter.CommandSubmitter(
             node=Passing(config=NotLeading()),
             http=Link(),
             read_services=lambda parts: frozenset(),
@@ -148,8 +150,10 @@
         # Half of it goes by compression.
         large = random.Random(1).randbytes(2_400_000).hex()
         for text in ('{}', large):
-            got = await desk.submit_routes(version=1, digest='d', text=text)
-            assert isinstance(got, desk_module.Unsure)
+            got = await submitter.submit_routes(
+                version=1, digest='d', text=text
+            )
+            assert isinstance(got, command_submitter.Unconfirmed)
 
     asyncio.run(work())
     small_s, large_s = given_s
--- a/tests/control/test_seeds.py
+++ b/tests/control/test_seeds.py
@@ -3,7 +3,7 @@
 import asyncio
 import errno
 
-from limpetroute.control import desk as desk_module
+from limpetroute.control import command_submitter
 from tests.control import failing_files
 from tests.control import seed_fleet
 
@@ -45,10 +45,10 @@
         for host in SEEDS:
             fleet.start(host)
         await fleet.until(fleet.voters)
-        got = await fleet.desk(SEEDS[0]).submit_routes(
+        got = await fleet.submitter(SEEDS[0]).submit_routes(
             version=1, digest='x', text='{}'
         )
-        assert isinstance(got, desk_module.Unsure)
+        assert isinstance(got, command_submitter.Unconfirmed)
         for host in HOSTS[3:]:
             fleet.start(host)
         await fleet.until(lambda: len(fleet.voters()) == 5)
@@ -149,8 +149,8 @@
         await fleet.submit(HOSTS[0], 2)
         await fleet.stop(*HOSTS[:3])
         await asyncio.sleep(1.5)
-        got = await fleet.desk(HOSTS[4]).newest_routes()
-        assert isinstance(got, desk_module.Unsure)
+        got = await fleet.submitter(HOSTS[4]).newest_routes()
+        assert isinstance(got, command_submitter.Unconfirmed)
 
     run(tmp_path, work)
 
