--- a/limpetroute/control/command_submitter.py
+++ b/limpetroute/control/command_submitter.py
@@ -214,7 +214,7 @@
     async def _named_services(self) -> frozenset[str]:
         """Return the services of the configuration in force."""
         state = self._node.config.state
-        await self._node.cutter.cut(state)
+        await self._node.routes_splitter.split(state)
         copy = state.routes_copy()
         if copy is None:
             return frozenset()
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -27,7 +27,7 @@
 from limpetroute.control import journal as journal_module
 from limpetroute.control import peer_link
 from limpetroute.control import replacements
-from limpetroute.control import routes_cutter
+from limpetroute.control import routes_splitter
 from limpetroute.control import seeds as seeds_module
 from limpetroute.control import trial_times
 from limpetroute.telemetry import boot_clock
@@ -92,7 +92,7 @@
         )
         self.failure = ''
         self.replacements = replacements.Replacements()
-        self.cutter = routes_cutter.RoutesCutter()
+        self.routes_splitter = routes_splitter.RoutesSplitter()
         self.trial_times = trial_times.TrialTimes()
         self.loop_lag = loop_lag.LoopLag(
             log_from_s=settings.election_s * LOOP_LAG_LOG_PART
--- a/limpetroute/control/recent_routes.py
+++ b/limpetroute/control/recent_routes.py
@@ -103,11 +103,11 @@
             self._copies.pop(digest, None)
             chars -= len(oldest.text)
 
-    def is_cut(self, digest: str) -> bool:
+    def is_split(self, digest: str) -> bool:
         """Return whether a version is cut into parts already."""
         return digest in self._copies
 
-    def take_parts(
+    def store_fragments(
         self,
         routes: routes_store.RoutesInForce,
         parts: tuple[routes_parts.Part, ...],
@@ -126,7 +126,7 @@
             return None
         known = self._copies.get(digest)
         if known is None:
-            self.take_parts(routes, routes_parts.split(routes.text))
+            self.store_fragments(routes, routes_parts.split(routes.text))
             known = self._copies[digest]
         return known
 
--- a/limpetroute/control/routes_handlers.py
+++ b/limpetroute/control/routes_handlers.py
@@ -22,7 +22,7 @@
             self.finish({'errors': [f'offset: {word[:20]!r}']})
             return
         offset = int(word)
-        await self.node.cutter.cut(self.node.config.state)
+        await self.node.routes_splitter.split(self.node.config.state)
         base = self.get_query_argument('base', '')
         known = self.node.config.state.recent_routes.update(
             base, self.get_query_argument('digest', '')
--- a/limpetroute/control/routes_cutter.py
+++ b/limpetroute/control/routes_splitter.py
@@ -8,7 +8,7 @@
 from limpetroute.routing import routes_parts
 
 
-class RoutesCutter:
+class RoutesSplitter:
     """Cuts routing configurations into parts, beside the event loop.
 
     Cutting thousands of routes takes as long as a leader may be silent,
@@ -25,7 +25,7 @@
     async def cut(self, state: control_state.ControlState) -> None:
         """Have the configuration in force cut, if it is not yet."""
         routes = state.routes
-        if routes is None or state.recent_routes.is_cut(routes.digest):
+        if routes is None or state.recent_routes.is_split(routes.digest):
             return
         task = self._running.get(routes.digest)
         if task is None:
@@ -41,6 +41,6 @@
     ) -> None:
         try:
             parts = await asyncio.to_thread(routes_parts.split, routes.text)
-            recent.take_parts(routes, parts)
+            recent.store_fragments(routes, parts)
         finally:
             del self._running[routes.digest]
--- a/limpetroute/control/watch_handler.py
+++ b/limpetroute/control/watch_handler.py
@@ -37,7 +37,7 @@
                 self.node.settings.watch_timeout_s,
             ),
         )
-        await self.node.cutter.cut(self.node.config.state)
+        await self.node.routes_splitter.split(self.node.config.state)
         self.finish_gzipped(json.dumps(self._body(after, version)).encode())
 
     def _body(self, after: int, version: int) -> dict[str, object]:
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -186,7 +186,7 @@
                 self._led_term = 0
                 self._give_up_pending()
                 continue
-            await self._node.cutter.cut(self._node.config.state)
+            await self._node.routes_splitter.split(self._node.config.state)
             self._note_term()
             for service, scheduler in self._schedulers.items():
                 if scheduler.waiting:
@@ -241,8 +241,8 @@
         state = self._node.config.state
         if state.routes is None or state.routes_index == self._routes_index:
             return
-        is_cut = state.recent_routes.is_cut(state.routes.digest)
-        if self._services and not is_cut:
+        is_split = state.recent_routes.is_split(state.routes.digest)
+        if self._services and not is_split:
             return
         copy = state.routes_copy()
         assert copy is not None
--- a/tests/control/test_command_submitter.py
+++ b/tests/control/test_command_submitter.py
@@ -8,7 +8,7 @@
 from limpetroute.control import command_submitter
 from limpetroute.control import commands
 from limpetroute.control import control_state
-from limpetroute.control import routes_cutter
+from limpetroute.control import routes_splitter
 from limpetroute.control import verdicts
 from limpetroute.wire import call_failed
 
@@ -38,8 +38,8 @@
 
     config: Group
     now_s: float = 0.0
-    cutter: routes_cutter.RoutesCutter = dataclasses.field(
-        default_factory=routes_cutter.RoutesCutter
+    routes_splitter: routes_splitter.RoutesSplitter = dataclasses.field(
+        default_factory=routes_splitter.RoutesSplitter
     )
 
 
--- a/tests/control/test_large_changes.py
+++ b/tests/control/test_large_changes.py
@@ -4,7 +4,7 @@
 
 from limpetroute.control import commands
 from limpetroute.control import control_state
-from limpetroute.control import routes_cutter
+from limpetroute.control import routes_splitter
 from tests.control import seed_fleet
 from tests.forwarding import large_routes
 
@@ -124,17 +124,19 @@
         state = control_state.ControlState(max_claim_bytes=1000)
         text = large_routes.text(2, ROUTES)
         state.apply(commands.SubmitRoutes(version=2, digest='d', text=text), 1)
-        cutter = routes_cutter.RoutesCutter()
-        cutting = [asyncio.create_task(cutter.cut(state)) for _ in range(3)]
+        splitter = routes_splitter.RoutesSplitter()
+        splitting = [
+            asyncio.create_task(splitter.split(state)) for _ in range(3)
+        ]
         loop = asyncio.get_running_loop()
         begun_s = last_s = loop.time()
         longest_s = 0.0
-        while not all(task.done() for task in cutting):
+        while not all(task.done() for task in splitting):
             await asyncio.sleep(0.001)
             longest_s = max(longest_s, loop.time() - last_s)
             last_s = loop.time()
         assert longest_s < (last_s - begun_s) / 2
-        assert state.recent_routes.is_cut('d')
+        assert state.recent_routes.is_split('d')
         assert ''.join(part.text for part in state.routes_copy().parts) == text
 
     asyncio.run(work())
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -52,7 +52,7 @@
             runners=Table(rows),
             routes=types.SimpleNamespace(digest='x'),
             routes_index=1,
-            recent_routes=types.SimpleNamespace(is_cut=lambda digest: True),
+            recent_routes=types.SimpleNamespace(is_split=lambda digest: True),
             routes_copy=lambda: types.SimpleNamespace(parts=()),
         )
         node = types.SimpleNamespace(
