--- a/limpetroute/cli/control.py
+++ b/limpetroute/cli/control.py
@@ -55,7 +55,7 @@
                 control_port.ControlPort, listen=settings.public_listen
             ),
             functools.partial(
-                dispatch_component.DispatchComponent, dialect=orders.Orders()
+                dispatch_component.DispatchComponent, codec=orders.Orders()
             ),
         ]
     if settings.metrics is not None:
--- a/limpetroute/control/command_submitter.py
+++ b/limpetroute/control/command_submitter.py
@@ -46,7 +46,7 @@
         This control host.
     http : Caller
         Calls the leader.
-    read_services : callable
+    parse_services : callable
         Returns the services that a routing configuration names.
     """
 
@@ -55,13 +55,13 @@
         *,
         node: node_module.Node,
         http: caller.Caller,
-        read_services: typing.Callable[
+        parse_services: typing.Callable[
             [typing.Sequence[routes_parts.Part]], frozenset[str]
         ],
     ) -> None:
         self._node = node
         self._http = http
-        self._read_services = read_services
+        self._read_services = parse_services
         self._services: frozenset[str] = frozenset()
         self._services_index = 0
 
--- a/limpetroute/dispatch/dispatch_component.py
+++ b/limpetroute/dispatch/dispatch_component.py
@@ -4,7 +4,7 @@
 
 from limpetroute.control import node as node_module
 from limpetroute.dispatch import dispatcher as dispatcher_module
-from limpetroute.dispatch import order_dialect
+from limpetroute.dispatch import order_codec
 from limpetroute.dispatch import place_handlers
 
 
@@ -15,7 +15,7 @@
     ----------
     node : Node
         The control host.
-    dialect : OrderDialect
+    codec : OrderDialect
         Reads routing configurations and writes orders.
     """
 
@@ -23,11 +23,9 @@
         self,
         *,
         node: node_module.Node,
-        dialect: order_dialect.OrderDialect,
+        codec: order_codec.OrderCodec,
     ) -> None:
-        self._dispatcher = dispatcher_module.Dispatcher(
-            node=node, dialect=dialect
-        )
+        self._dispatcher = dispatcher_module.Dispatcher(node=node, codec=codec)
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(dispatcher={self._dispatcher!r})'
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -6,7 +6,7 @@
 import typing
 
 from limpetroute.control import node as node_module
-from limpetroute.dispatch import order_dialect
+from limpetroute.dispatch import order_codec
 from limpetroute.dispatch import service_runners
 from limpetroute.dispatch import stage_orders
 from limpetroute.routing import placement
@@ -46,7 +46,7 @@
     ----------
     node : Node
         This control host.
-    dialect : OrderDialect
+    codec : OrderDialect
         Reads routing configurations and writes orders.
     """
 
@@ -54,13 +54,13 @@
         self,
         *,
         node: node_module.Node,
-        dialect: order_dialect.OrderDialect,
+        codec: order_codec.OrderCodec,
     ) -> None:
         self._node = node
-        self._dialect = dialect
+        self._codec = codec
         self._orders = stage_orders.StageOrders(
             holder=node.settings.host_id,
-            dialect=dialect,
+            codec=codec,
             http=caller.Caller(),
         )
         self._limits = runner_limits.RunnerLimits()
@@ -246,7 +246,7 @@
             return
         copy = state.routes_copy()
         assert copy is not None
-        found = self._dialect.read_services(copy.parts)
+        found = self._codec.parse_services(copy.parts)
         self._services = {one.name: one for one in found}
         self._routes_index = state.routes_index
 
--- a/limpetroute/dispatch/order_dialect.py
+++ b/limpetroute/dispatch/order_codec.py
@@ -8,10 +8,10 @@
 from limpetroute.wire import small_call
 
 
-class OrderDialect(typing.Protocol):
+class OrderCodec(typing.Protocol):
     """How orders to runners are written, and configurations read."""
 
-    def read_services(
+    def parse_services(
         self, parts: typing.Sequence[routes_parts.Part]
     ) -> tuple[service.Service, ...]:
         """Decode the services of a routing configuration."""
@@ -26,8 +26,8 @@
     ) -> small_call.SmallCall:
         """Return the call that orders a runner to a stage."""
 
-    def busy_question(self, runner_id: str) -> small_call.SmallCall:
+    def busy_request(self, runner_id: str) -> small_call.SmallCall:
         """Return the call that asks whether a runner carries one out."""
 
-    def read_busy(self, body: bytes) -> bool:
+    def parse_busy(self, body: bytes) -> bool:
         """Return what it answers; `ValueError` if that cannot be read."""
--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -5,7 +5,7 @@
 import logging
 import typing
 
-from limpetroute.dispatch import order_dialect
+from limpetroute.dispatch import order_codec
 from limpetroute.routing import runner_info
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
@@ -44,7 +44,7 @@
     ----------
     holder : str
         Name of this host in orders.
-    dialect : OrderDialect
+    codec : OrderDialect
         Writes orders.
     http : Caller
         Calls runners.
@@ -54,11 +54,11 @@
         self,
         *,
         holder: str,
-        dialect: order_dialect.OrderDialect,
+        codec: order_codec.OrderCodec,
         http: caller.Caller,
     ) -> None:
         self._holder = holder
-        self._dialect = dialect
+        self._codec = codec
         self._http = http
         self._fence = 0
         self._quiet_until_s = 0.0
@@ -193,7 +193,7 @@
             )
 
     async def _is_busy(self, runner: runner_info.RunnerInfo) -> bool:
-        question = self._dialect.busy_question(runner.runner_id)
+        question = self._codec.busy_request(runner.runner_id)
         got = await self._http.call(
             method=question.method,
             url=f'http://{runner.address}{question.path}',
@@ -207,7 +207,7 @@
             )
             return False
         try:
-            return self._dialect.read_busy(got.body)
+            return self._codec.parse_busy(got.body)
         except ValueError as exc:
             LOG.warning(
                 'a report could not be read',
@@ -253,7 +253,7 @@
         change: stage_split.StageChange,
         rates: stage_rates.StageRates | None,
     ) -> None:
-        order = self._dialect.stage_order(
+        order = self._codec.stage_order(
             change.stage,
             runner_id=target.runner_id,
             holder=self._holder,
--- a/limpetroute/platform/control_port.py
+++ b/limpetroute/platform/control_port.py
@@ -129,7 +129,7 @@
         trust = node.settings.credentials()
         http = caller.Caller(tls=trust.client_tls, token=trust.token)
         desk = command_submitter.CommandSubmitter(
-            node=node, http=http, read_services=_services
+            node=node, http=http, parse_services=_services
         )
         args = {'desk': desk}
         self._server = httpserver.HTTPServer(
--- a/limpetroute/platform/orders.py
+++ b/limpetroute/platform/orders.py
@@ -17,7 +17,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}()'
 
-    def read_services(
+    def parse_services(
         self, parts: typing.Sequence[routes_parts.Part]
     ) -> tuple[service.Service, ...]:
         """Decode the services of a routing configuration."""
@@ -45,7 +45,7 @@
             headers={header_names.EXPECT_INSTANCE: runner_id},
         )
 
-    def busy_question(self, runner_id: str) -> small_call.SmallCall:
+    def busy_request(self, runner_id: str) -> small_call.SmallCall:
         """Return the call that asks whether a runner carries one out."""
         return small_call.SmallCall(
             method='GET',
@@ -53,7 +53,7 @@
             headers={header_names.EXPECT_INSTANCE: runner_id},
         )
 
-    def read_busy(self, body: bytes) -> bool:
+    def parse_busy(self, body: bytes) -> bool:
         """Return whether an order is being carried out.
 
         The field is ``busy``; it says nothing of how much work there is.
--- a/tests/control/seed_fleet.py
+++ b/tests/control/seed_fleet.py
@@ -57,7 +57,7 @@
         return command_submitter.CommandSubmitter(
             node=node,
             http=caller.Caller(),
-            read_services=lambda text: frozenset(),
+            parse_services=lambda text: frozenset(),
         )
 
     def voters(self):
--- a/tests/control/test_command_submitter.py
+++ b/tests/control/test_command_submitter.py
@@ -48,7 +48,7 @@
     submitter = command_submitter.CommandSubmitter(
         node=Host(config=group),
         http=None,
-        read_services=lambda parts: frozenset(parts[0].text.split()),
+        parse_services=lambda parts: frozenset(parts[0].text.split()),
     )
     return submitter, group.state
 
@@ -145,7 +145,7 @@
         submitter = command_submitter.CommandSubmitter(
             node=Passing(config=NotLeading()),
             http=Link(),
-            read_services=lambda parts: frozenset(),
+            parse_services=lambda parts: frozenset(),
         )
         # Half of it goes by compression.
         large = random.Random(1).randbytes(2_400_000).hex()
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -59,11 +59,9 @@
             settings=types.SimpleNamespace(host_id='c1'),
             config=types.SimpleNamespace(replica=self.replica, state=state),
         )
-        dialect = orders.Orders()
-        dialect.read_services = lambda parts: [service]
-        self.dispatcher = dispatcher_module.Dispatcher(
-            node=node, dialect=dialect
-        )
+        codec = orders.Orders()
+        codec.read_services = lambda parts: [service]
+        self.dispatcher = dispatcher_module.Dispatcher(node=node, codec=codec)
 
     async def place(self, name, **fields):
         ask = builders.make_ask(name, **fields)
--- a/tests/dispatch/test_late_orders.py
+++ b/tests/dispatch/test_late_orders.py
@@ -63,7 +63,7 @@
 
     async def work():
         keeper = stage_orders.StageOrders(
-            holder='c1', dialect=orders.Orders(), http=runners
+            holder='c1', codec=orders.Orders(), http=runners
         )
         keeper.begin_term(1, 0.0)
         service = builders.make_service('model', builders.ENGINE)
--- a/tests/dispatch/test_stage_orders.py
+++ b/tests/dispatch/test_stage_orders.py
@@ -24,7 +24,7 @@
 
 def make_orders(calls):
     return stage_orders.StageOrders(
-        holder='c1', dialect=orders.Orders(), http=calls
+        holder='c1', codec=orders.Orders(), http=calls
     )
 
 
--- a/tests/dispatch/test_started_again.py
+++ b/tests/dispatch/test_started_again.py
@@ -65,7 +65,7 @@
     async def work():
         http = Accepting()
         keeper = stage_orders.StageOrders(
-            holder='c1', dialect=orders.Orders(), http=http
+            holder='c1', codec=orders.Orders(), http=http
         )
         keeper.begin_term(1, 0.0)
         service = builders.make_service('model', builders.ENGINE)
