--- a/limpetroute/control/claim_book.py
+++ b/limpetroute/control/claim_store.py
@@ -42,10 +42,10 @@
     retry_after_s: float = 1.0
 
 
-ClaimVerdict = ClaimGranted | ClaimFound | ClaimNotMade
+ClaimResult = ClaimGranted | ClaimFound | ClaimNotMade
 
 
-class ClaimBook(typing.Protocol):
+class ClaimStore(typing.Protocol):
     """Claims held by the control log."""
 
     async def claim(
@@ -56,7 +56,7 @@
         body_digest: str,
         holder: str,
         timeout_s: float,
-    ) -> ClaimVerdict:
+    ) -> ClaimResult:
         """Claim a call before anything of it is sent.
 
         A lost answer from control gives `ClaimNotMade` only when the
--- a/limpetroute/control/command_submitter.py
+++ b/limpetroute/control/command_submitter.py
@@ -61,7 +61,7 @@
     ) -> None:
         self._node = node
         self._http = http
-        self._read_services = parse_services
+        self._parse_services = parse_services
         self._services: frozenset[str] = frozenset()
         self._services_index = 0
 
@@ -219,7 +219,7 @@
         if copy is None:
             return frozenset()
         if state.routes_index != self._services_index:
-            self._services = self._read_services(copy.parts)
+            self._services = self._parse_services(copy.parts)
             self._services_index = state.routes_index
         return self._services
 
--- a/limpetroute/control/http_claim_book.py
+++ b/limpetroute/control/http_claim_store.py
@@ -4,7 +4,7 @@
 import logging
 import secrets
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.control import control_client
 
 LOG = logging.getLogger(__name__)
@@ -13,7 +13,7 @@
 MAX_WITHDRAWALS = 10_000
 
 
-class HttpClaimBook:
+class HttpClaimStore:
     """The claim book that asks the control hosts.
 
     A grant whose answer was lost is withdrawn before its key may be
@@ -41,12 +41,12 @@
         body_digest: str,
         holder: str,
         timeout_s: float,
-    ) -> claim_book.ClaimVerdict:
+    ) -> claim_store.ClaimResult:
         """Claim a call before anything of it is sent."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + timeout_s
         if not await self._withdrawn(team, key, timeout_s):
-            return claim_book.ClaimNotMade(
+            return claim_store.ClaimNotMade(
                 reason='an earlier claim is being withdrawn'
             )
         token = secrets.token_hex(12)
@@ -66,10 +66,10 @@
             self._withdraw(team, key, token)
             raise
         if isinstance(got, control_client.NotRun):
-            return claim_book.ClaimNotMade(reason=got.reason)
+            return claim_store.ClaimNotMade(reason=got.reason)
         if isinstance(got, control_client.Unknown):
             self._withdraw(team, key, token)
-            return claim_book.ClaimNotMade(reason=got.reason)
+            return claim_store.ClaimNotMade(reason=got.reason)
         return self._verdict(got, team, key, token)
 
     async def settle(
@@ -98,18 +98,18 @@
 
     def _verdict(
         self, got: control_client.Answered, team: str, key: str, token: str
-    ) -> claim_book.ClaimVerdict:
+    ) -> claim_store.ClaimResult:
         outcome = got.body.get('outcome')
         if outcome == 'granted':
-            return claim_book.ClaimGranted(fence=int(got.body['fence']))
+            return claim_store.ClaimGranted(fence=int(got.body['fence']))
         if outcome == 'found':
-            return claim_book.ClaimFound(
+            return claim_store.ClaimFound(
                 same_body=bool(got.body['same_body']),
                 status=int(got.body['status']) or None,
                 body=str(got.body['body']),
             )
         reason = '; '.join(got.body.get('errors', [])) or str(outcome)
-        return claim_book.ClaimNotMade(reason=reason)
+        return claim_store.ClaimNotMade(reason=reason)
 
     async def _withdrawn(self, team: str, key: str, timeout_s: float) -> bool:
         task = self._withdrawals.get((team, key))
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -219,7 +219,7 @@
     def _scheduler(
         self, service: str
     ) -> stream_scheduler.StreamScheduler | None:
-        self._read_services()
+        self._update_services()
         known = self._schedulers.get(service)
         if known is not None:
             return known
@@ -232,7 +232,7 @@
         self._schedulers[service] = scheduler
         return scheduler
 
-    def _read_services(self) -> None:
+    def _update_services(self) -> None:
         """Take the services of the configuration in force.
 
         Those of the version before serve until it is cut into parts,
@@ -306,7 +306,7 @@
                 pending.future.set_result(answer)
 
     def _keep_stages(self) -> None:
-        self._read_services()
+        self._update_services()
         for service in self._services.values():
             if service.engine is None:
                 continue
--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -12,7 +12,7 @@
 from limpetroute.border import entry_settings
 from limpetroute.border import manifest as manifest_module
 from limpetroute.border import policy_settings
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.decisions import full_policy
 from limpetroute.decisions import policy_config
 from limpetroute.decisions import prefix
@@ -79,7 +79,7 @@
         self.meters = self.exports.meters
         self.hops = self.exports.hops
         host_exports.observe(self.exports, self)
-        self.claims: claim_book.ClaimBook | None = control_claims.build(
+        self.claims: claim_store.ClaimStore | None = control_claims.build(
             settings, self.http
         )
         self.drained_runners: set[str] = set()
--- a/limpetroute/entry/services/control_claims.py
+++ b/limpetroute/entry/services/control_claims.py
@@ -1,19 +1,19 @@
 """Connects an entry host to the once-only claims."""
 
 from limpetroute.border import entry_settings
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.control import control_client
-from limpetroute.control import http_claim_book
+from limpetroute.control import http_claim_store
 from limpetroute.wire import caller
 
 
 def build(
     settings: entry_settings.EntrySettings, http: caller.Caller
-) -> claim_book.ClaimBook | None:
-    """Return a claim book, or None where no control host is set."""
+) -> claim_store.ClaimStore | None:
+    """Return a claim store, or None where no control host is set."""
     if not settings.control_urls:
         return None
     client = control_client.ControlClient(
         urls=settings.control_urls, http=http
     )
-    return http_claim_book.HttpClaimBook(client=client)
+    return http_claim_store.HttpClaimStore(client=client)
--- a/limpetroute/entry/services/once_calls.py
+++ b/limpetroute/entry/services/once_calls.py
@@ -4,7 +4,7 @@
 import dataclasses
 import logging
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.entry.records import stored_reply
 from limpetroute.entry.runs import send_guard
 from limpetroute.entry.services import repeatable_calls
@@ -72,7 +72,7 @@
     async def call(
         self,
         *,
-        claims: claim_book.ClaimBook | None,
+        claims: claim_store.ClaimStore | None,
         team: str,
         digest: str,
         call: service_call.ServiceCall,
@@ -83,7 +83,7 @@
 
         Parameters
         ----------
-        claims : ClaimBook or None
+        claims : ClaimStore or None
             Where claims are made; without one nothing is sent.
         team : str
             The caller's team, inside which the key counts.
@@ -114,7 +114,7 @@
 
     async def _make(
         self,
-        claims: claim_book.ClaimBook,
+        claims: claim_store.ClaimStore,
         team: str,
         digest: str,
         call: service_call.ServiceCall,
@@ -130,9 +130,9 @@
             holder=self._host_id,
             timeout_s=CLAIM_TIMEOUT_S,
         )
-        if isinstance(verdict, claim_book.ClaimNotMade):
+        if isinstance(verdict, claim_store.ClaimNotMade):
             return _no_verdict(verdict.reason, verdict.retry_after_s, made_key)
-        if isinstance(verdict, claim_book.ClaimFound):
+        if isinstance(verdict, claim_store.ClaimFound):
             return _found(verdict)
         got: service_call.ServiceResult | None = None
         guard = send_guard.SendGuard()
@@ -171,7 +171,7 @@
 
     def _settle(
         self,
-        claims: claim_book.ClaimBook,
+        claims: claim_store.ClaimStore,
         team: str,
         key: str,
         outcome: service_outcome.ServiceOutcome,
@@ -193,7 +193,7 @@
 
 
 async def _settle(
-    claims: claim_book.ClaimBook, team: str, key: str, status: int, body: str
+    claims: claim_store.ClaimStore, team: str, key: str, status: int, body: str
 ) -> None:
     for _ in range(SETTLE_TRIES):
         done = await claims.settle(
@@ -239,7 +239,7 @@
     )
 
 
-def _found(verdict: claim_book.ClaimFound) -> service_outcome.ServiceOutcome:
+def _found(verdict: claim_store.ClaimFound) -> service_outcome.ServiceOutcome:
     if not verdict.same_body:
         return service_outcome.KeyReused()
     if verdict.status is None:
--- a/limpetroute/entry/services/service_desk.py
+++ b/limpetroute/entry/services/service_desk.py
@@ -3,7 +3,7 @@
 import asyncio
 import typing
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.entry.runs import send_guard
 from limpetroute.entry.services import once_calls
 from limpetroute.entry.services import repeatable_calls
@@ -16,7 +16,7 @@
 class HostState(typing.Protocol):
     """What the desk asks its host at each call."""
 
-    claims: claim_book.ClaimBook | None
+    claims: claim_store.ClaimStore | None
 
     @property
     def ready(self) -> bool:
--- a/tests/control/control_fleet.py
+++ b/tests/control/control_fleet.py
@@ -7,7 +7,7 @@
 
 from limpetroute.border import control_settings
 from limpetroute.control import control_client
-from limpetroute.control import http_claim_book
+from limpetroute.control import http_claim_store
 from limpetroute.control import server as server_module
 from limpetroute.wire import caller
 
@@ -65,8 +65,8 @@
             http=caller.Caller(),
         )
 
-    def book(self, *hosts):
-        return http_claim_book.HttpClaimBook(client=self.client(*hosts))
+    def store(self, *hosts):
+        return http_claim_store.HttpClaimStore(client=self.client(*hosts))
 
     def leader(self, group=0):
         for host, server in self.servers.items():
--- a/tests/control/measure.py
+++ b/tests/control/measure.py
@@ -171,14 +171,14 @@
 
 async def latency(folder):
     async with control_fleet.running(folder) as fleet:
-        book = fleet.book()
+        store = fleet.store()
         for workers in (1, 16):
             took_s = []
 
             async def work(worker, count, took_s=took_s):
                 for number in range(count):
                     began_s = time.perf_counter()
-                    await book.claim(
+                    await store.claim(
                         team='t',
                         key=f'{worker}-{number}-{count}',
                         body_digest='d',
--- a/tests/control/measure_processes.py
+++ b/tests/control/measure_processes.py
@@ -11,7 +11,7 @@
 import tempfile
 import time
 
-from limpetroute.control import http_claim_book
+from limpetroute.control import http_claim_store
 from tests.control import measure
 from tests.control import process_fleet
 
@@ -49,7 +49,7 @@
 
 
 async def claims(fleet, workers):
-    book = http_claim_book.HttpClaimBook(client=fleet.client())
+    store = http_claim_store.HttpClaimStore(client=fleet.client())
     took_s = []
     until_s = time.monotonic() + LOAD_S
 
@@ -58,7 +58,7 @@
         while time.monotonic() < until_s:
             number += 1
             began_s = time.perf_counter()
-            await book.claim(
+            await store.claim(
                 team='t',
                 key=f'{workers}-{worker}-{number}',
                 body_digest='d',
--- a/tests/control/process_fleet.py
+++ b/tests/control/process_fleet.py
@@ -5,9 +5,9 @@
 import signal
 import time
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.control import control_client
-from limpetroute.control import http_claim_book
+from limpetroute.control import http_claim_store
 from limpetroute.wire import caller
 from tests.control import control_fleet
 from tests.whole_path import processes
@@ -109,7 +109,7 @@
     """Claims and manifests without a pause, with what was promised."""
 
     def __init__(self, fleet):
-        self.book = http_claim_book.HttpClaimBook(client=fleet.client())
+        self.store = http_claim_store.HttpClaimStore(client=fleet.client())
         self.client = fleet.client()
         self.granted = {}
         self.accepted = {}
@@ -121,14 +121,14 @@
         while not self.stopping:
             number += 1
             key = f'{name}-{number}'
-            got = await self.book.claim(
+            got = await self.store.claim(
                 team='bank',
                 key=key,
                 body_digest='d',
                 holder=name,
                 timeout_s=8.0,
             )
-            if isinstance(got, claim_book.ClaimGranted):
+            if isinstance(got, claim_store.ClaimGranted):
                 self.granted[key] = got.fence
                 self.done_s.append(time.monotonic())
             await asyncio.sleep(PAUSE_S)
@@ -186,14 +186,14 @@
     async def check():
         while keys:
             key = keys.pop()
-            got = await load.book.claim(
+            got = await load.store.claim(
                 team='bank',
                 key=key,
                 body_digest='d',
                 holder='check',
                 timeout_s=8.0,
             )
-            assert isinstance(got, claim_book.ClaimFound), (key, got)
+            assert isinstance(got, claim_store.ClaimFound), (key, got)
 
     await asyncio.gather(*(check() for _ in range(CHECKS_AT_ONCE)))
 
@@ -201,16 +201,16 @@
 async def frozen_leader(fleet, load):
     host = await fleet.leader(1)
     fleet.running[host].send_signal(signal.SIGSTOP)
-    got = await load.book.claim(
+    got = await load.store.claim(
         team='bank',
         key='while-frozen',
         body_digest='d',
         holder='e1',
         timeout_s=15.0,
     )
-    assert isinstance(got, claim_book.ClaimGranted)
+    assert isinstance(got, claim_store.ClaimGranted)
     fleet.running[host].send_signal(signal.SIGCONT)
-    again = http_claim_book.HttpClaimBook(
+    again = http_claim_store.HttpClaimStore(
         client=control_client.ControlClient(
             urls=[fleet.urls[host]], http=fleet.http
         )
@@ -222,6 +222,6 @@
         holder='e2',
         timeout_s=15.0,
     )
-    assert isinstance(found, claim_book.ClaimFound), found
+    assert isinstance(found, claim_store.ClaimFound), found
     body = await fleet.status(host)
     assert body['groups'][1]['role'] != 'leader', json.dumps(body)
--- a/tests/control/test_control_hosts.py
+++ b/tests/control/test_control_hosts.py
@@ -2,9 +2,9 @@
 import errno
 import time
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.control import control_client
-from limpetroute.control import http_claim_book
+from limpetroute.control import http_claim_store
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 from tests.control import control_fleet
@@ -16,7 +16,7 @@
     'body_digest': 'd1',
     'holder': 'entry-1',
 }
-NOT_MADE = claim_book.ClaimNotMade
+NOT_MADE = claim_store.ClaimNotMade
 
 
 async def _submit(client, number, sender='ci', **fields):
@@ -29,7 +29,7 @@
 
 
 async def _claim(fleet, key, *hosts):
-    return await fleet.book(*hosts).claim(
+    return await fleet.store(*hosts).claim(
         **{**CLAIM, 'key': key}, timeout_s=5.0
     )
 
@@ -58,22 +58,22 @@
             assert bad['outcome'] == 'invalid'
             assert 'pools.0.prefill' in ' '.join(bad['errors'])
 
-            book = fleet.book()
-            granted = await book.claim(**CLAIM, timeout_s=5.0)
-            assert isinstance(granted, claim_book.ClaimGranted)
-            found = await fleet.book().claim(
+            store = fleet.store()
+            granted = await store.claim(**CLAIM, timeout_s=5.0)
+            assert isinstance(granted, claim_store.ClaimGranted)
+            found = await fleet.store().claim(
                 **{**CLAIM, 'body_digest': 'd2'}, timeout_s=5.0
             )
-            assert found == claim_book.ClaimFound(same_body=False)
-            assert await book.settle(
+            assert found == claim_store.ClaimFound(same_body=False)
+            assert await store.settle(
                 team='bank',
                 key='release-7',
                 status=200,
                 body='sent',
                 timeout_s=5.0,
             )
-            found = await fleet.book().claim(**CLAIM, timeout_s=5.0)
-            assert found == claim_book.ClaimFound(
+            found = await fleet.store().claim(**CLAIM, timeout_s=5.0)
+            assert found == claim_store.ClaimFound(
                 same_body=True, status=200, body='sent'
             )
             fences = [
@@ -120,14 +120,14 @@
             client = control_client.ControlClient(
                 urls=[fleet.url('c1'), fleet.url('c2')], http=http
             )
-            book = http_claim_book.HttpClaimBook(client=client)
-            lost = await book.claim(**CLAIM, timeout_s=0.5)
+            store = http_claim_store.HttpClaimStore(client=client)
+            lost = await store.claim(**CLAIM, timeout_s=0.5)
             assert isinstance(lost, NOT_MADE)
             http.drops = False
-            again = await book.claim(**CLAIM, timeout_s=5.0)
-            assert isinstance(again, claim_book.ClaimGranted)
-            found = await fleet.book().claim(**CLAIM, timeout_s=5.0)
-            assert isinstance(found, claim_book.ClaimFound)
+            again = await store.claim(**CLAIM, timeout_s=5.0)
+            assert isinstance(again, claim_store.ClaimGranted)
+            found = await fleet.store().claim(**CLAIM, timeout_s=5.0)
+            assert isinstance(found, claim_store.ClaimFound)
 
     asyncio.run(story())
 
@@ -151,7 +151,7 @@
             assert isinstance(got, control_client.NotRun)
             assert time.monotonic() - began_s < 10
             assert isinstance(
-                await fleet.book('c1').claim(**CLAIM, timeout_s=0.5), NOT_MADE
+                await fleet.store('c1').claim(**CLAIM, timeout_s=0.5), NOT_MADE
             )
 
     asyncio.run(story())
@@ -174,7 +174,7 @@
             granted = []
             for place in range(10):
                 got = await _claim(fleet, f'k{place}')
-                assert isinstance(got, claim_book.ClaimGranted)
+                assert isinstance(got, claim_store.ClaimGranted)
                 granted.append(f'k{place}')
             former = fleet.leader(1)
             files[former].error = errno.ENOSPC
@@ -187,7 +187,7 @@
             await fleet.until(lambda: fleet.leader(1) not in (None, former))
             for key in granted:
                 got = await _claim(fleet, key)
-                assert isinstance(got, claim_book.ClaimFound), key
+                assert isinstance(got, claim_store.ClaimFound), key
         finally:
             for host in list(fleet.servers):
                 await fleet.stop(host)
@@ -234,7 +234,7 @@
             await fleet.stop('c3')
             for place in range(20):
                 got = await _claim(fleet, f'k{place}', 'c1', 'c2')
-                assert isinstance(got, claim_book.ClaimFound), place
+                assert isinstance(got, claim_store.ClaimFound), place
             fleet.ports['c4'] = control_fleet.free_port()
             fleet.start('c4', peers=('c1', 'c2', 'c4'))
             await fleet.until(lambda: fleet.leader(0) and fleet.leader(1))
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -60,7 +60,7 @@
             config=types.SimpleNamespace(replica=self.replica, state=state),
         )
         codec = orders.Orders()
-        codec.read_services = lambda parts: [service]
+        codec.parse_services = lambda parts: [service]
         self.dispatcher = dispatcher_module.Dispatcher(node=node, codec=codec)
 
     async def place(self, name, **fields):
--- a/tests/entry/memory_claim_book.py
+++ b/tests/entry/memory_claim_store.py
@@ -1,8 +1,8 @@
-"""A claim book in memory, whose answers can be made to fail."""
+"""A claim store in memory, whose answers can be made to fail."""
 
 import dataclasses
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -13,7 +13,7 @@
     body: str = ''
 
 
-class MemoryClaimBook:
+class MemoryClaimStore:
     def __init__(self) -> None:
         self.claims: dict[tuple[str, str], Claim] = {}
         self.reachable = True
@@ -27,15 +27,15 @@
         body_digest: str,
         holder: str,
         timeout_s: float,
-    ) -> claim_book.ClaimVerdict:
+    ) -> claim_store.ClaimResult:
         if not self.reachable:
-            return claim_book.ClaimNotMade(reason='no_quorum')
+            return claim_store.ClaimNotMade(reason='no_quorum')
         found = self.claims.get((team, key))
         if found is None:
             fence = len(self.claims) + 1
             self.claims[team, key] = Claim(digest=body_digest, fence=fence)
-            return claim_book.ClaimGranted(fence=fence)
-        return claim_book.ClaimFound(
+            return claim_store.ClaimGranted(fence=fence)
+        return claim_store.ClaimFound(
             same_body=found.digest == body_digest,
             status=found.status,
             body=found.body,
--- a/tests/entry/test_once_calls.py
+++ b/tests/entry/test_once_calls.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.entry.services import once_calls
 from limpetroute.entry.services import service_outcome
 from limpetroute.runners import service_call
@@ -19,8 +19,8 @@
 )
 
 
-class SlowBook:
-    """A claim book of all hosts whose outcomes take time to be kept."""
+class SlowStore:
+    """A claim store of all hosts whose outcomes take time to be kept."""
 
     def __init__(self, settle_s):
         self.settle_s = settle_s
@@ -29,11 +29,11 @@
     async def claim(self, *, key, **rest):
         if key in self.claims:
             status, body = self.claims[key]
-            return claim_book.ClaimFound(
+            return claim_store.ClaimFound(
                 same_body=True, status=status, body=body
             )
         self.claims[key] = (None, '')
-        return claim_book.ClaimGranted(fence=1)
+        return claim_store.ClaimGranted(fence=1)
 
     async def settle(self, *, key, status, body, **rest):
         await asyncio.sleep(self.settle_s)
@@ -61,9 +61,9 @@
         )
 
 
-async def call_at(host, book):
+async def call_at(host, store):
     return await host.call(
-        claims=book, team='t', digest='d', call=CALL, made_key=False
+        claims=store, team='t', digest='d', call=CALL, made_key=False
     )
 
 
@@ -72,12 +72,12 @@
 
     async def work():
         pool = Pool()
-        book = SlowBook(settle_s=0.1)
+        store = SlowStore(settle_s=0.1)
         hosts = [
             once_calls.OnceCalls(host_id=f'h{n}', pool=pool) for n in range(2)
         ]
-        first = await call_at(hosts[0], book)
-        again = await call_at(hosts[1], book)
+        first = await call_at(hosts[0], store)
+        again = await call_at(hosts[1], store)
         assert pool.runs == 1
         assert isinstance(first, service_outcome.Answered)
         assert isinstance(again, service_outcome.Answered), again
@@ -92,7 +92,7 @@
     async def work():
         host = once_calls.OnceCalls(host_id='h', pool=Pool())
         begun_s = asyncio.get_running_loop().time()
-        got = await call_at(host, SlowBook(settle_s=30.0))
+        got = await call_at(host, SlowStore(settle_s=30.0))
         took_s = asyncio.get_running_loop().time() - begun_s
         assert isinstance(got, service_outcome.Answered)
         assert took_s < once_calls.KEPT_BEFORE_ANSWER_S + 0.5
--- a/tests/entry/test_services.py
+++ b/tests/entry/test_services.py
@@ -10,7 +10,7 @@
 from limpetroute.standins import service_faults
 from limpetroute.standins import service_server
 from tests.entry import fleet as fleet_module
-from tests.entry import memory_claim_book
+from tests.entry import memory_claim_store
 from tests.entry import raw_caller
 
 KEY = {'Idempotency-Key': 'release-5'}
@@ -45,7 +45,7 @@
 def _play(story: Story, *, count: int = 2, **settings: typing.Any) -> None:
     async def whole(fleet: fleet_module.Fleet) -> None:
         fleet.host.manifest = MANIFEST
-        fleet.host.claims = memory_claim_book.MemoryClaimBook()
+        fleet.host.claims = memory_claim_store.MemoryClaimStore()
         services = [
             service_server.ServiceServer(
                 settings=standin_settings.StandinSettings.model_validate(
