--- a/limpetroute/cli/submit.py
+++ b/limpetroute/cli/submit.py
@@ -99,11 +99,11 @@
     wait_s: float,
     timeout_s: float,
 ) -> control_client.Answered | control_client.NotRun | control_client.Unknown:
-    return await client.ask(
+    return await client.post(
         path=f'/v1/manifest?wait_s={wait_s}',
         body=body.model_dump_json().encode(),
         timeout_s=timeout_s + wait_s,
-        extra_wait_s=wait_s,
+        server_wait_s=wait_s,
     )
 
 
--- a/limpetroute/control/control_client.py
+++ b/limpetroute/control/control_client.py
@@ -67,13 +67,13 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(urls={self._urls!r})'
 
-    async def ask(
+    async def post(
         self,
         *,
         path: str,
         body: typing.Any,
         timeout_s: float,
-        extra_wait_s: float = 0.0,
+        server_wait_s: float = 0.0,
     ) -> Answered | NotRun | Unknown:
         """Post a body until a control host answers for the group.
 
@@ -85,7 +85,7 @@
             JSON types, or bytes; safe to send more than once.
         timeout_s : float
             Longest time in all.
-        extra_wait_s : float
+        server_wait_s : float
             Time that the host itself may hold the answer.
         """
         loop = asyncio.get_running_loop()
@@ -101,7 +101,7 @@
                 method='POST',
                 url=url + path,
                 body=body,
-                timeout_s=min(left_s, self._try_s + extra_wait_s),
+                timeout_s=min(left_s, self._try_s + server_wait_s),
             )
             if isinstance(got, call_failed.CallFailed):
                 sent = sent or got.sent
--- a/limpetroute/control/http_claim_store.py
+++ b/limpetroute/control/http_claim_store.py
@@ -51,7 +51,7 @@
             )
         token = secrets.token_hex(12)
         try:
-            got = await self._client.ask(
+            got = await self._client.post(
                 path='/v1/claims',
                 body={
                     'team': team,
@@ -82,7 +82,7 @@
         timeout_s: float,
     ) -> bool:
         """Write the outcome; return whether a quorum has it."""
-        got = await self._client.ask(
+        got = await self._client.post(
             path='/v1/claims/settle',
             body={'team': team, 'key': key, 'status': status, 'body': body},
             timeout_s=timeout_s,
@@ -134,7 +134,7 @@
     async def _try_withdraw(self, team: str, key: str, token: str) -> None:
         body = {'team': team, 'key': key, 'token': token}
         while True:
-            got = await self._client.ask(
+            got = await self._client.post(
                 path='/v1/claims/withdraw',
                 body=body,
                 timeout_s=WITHDRAW_TRY_S,
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -242,7 +242,7 @@
         client = control_client.ControlClient(
             urls=urls, http=self._http, try_s=CALL_TIMEOUT_S / 2
         )
-        got = await client.ask(path=path, body=body, timeout_s=CALL_TIMEOUT_S)
+        got = await client.post(path=path, body=body, timeout_s=CALL_TIMEOUT_S)
         if isinstance(got, control_client.Answered):
             self._failed_asks = 0
             if got.status == HTTP_BAD_REQUEST:
--- a/tests/control/measure_processes.py
+++ b/tests/control/measure_processes.py
@@ -81,11 +81,11 @@
         await claims(fleet, workers)
     body = measure.manifest().model_dump_json().encode()
     began_s = time.monotonic()
-    got = await fleet.client().ask(
+    got = await fleet.client().post(
         path='/v1/manifest?wait_s=15',
         body=body,
         timeout_s=30.0,
-        extra_wait_s=15.0,
+        server_wait_s=15.0,
     )
     took_s = time.monotonic() - began_s
     print(
--- a/tests/control/process_fleet.py
+++ b/tests/control/process_fleet.py
@@ -137,7 +137,7 @@
         number = 0
         while not self.stopping:
             number += 1
-            got = await self.client.ask(
+            got = await self.client.post(
                 path='/v1/manifest',
                 body={'number': number, 'sender': 'ci'},
                 timeout_s=8.0,
@@ -170,7 +170,7 @@
     assert len(set(load.granted.values())) == len(load.granted)
     await check_granted(load)
     newest = max(load.accepted)
-    again = await load.client.ask(
+    again = await load.client.post(
         path='/v1/manifest', body={'number': newest - 1}, timeout_s=8.0
     )
     assert again.body['outcome'] == 'stale', again
--- a/tests/control/test_control_client.py
+++ b/tests/control/test_control_client.py
@@ -47,7 +47,7 @@
         client._next_url = 'http://dead'
 
         async def ask():
-            return await client.ask(path='/x', body={}, timeout_s=5.0)
+            return await client.post(path='/x', body={}, timeout_s=5.0)
 
         got = await asyncio.gather(ask(), ask())
         assert all(isinstance(one, control_client.Answered) for one in got)
--- a/tests/control/test_control_hosts.py
+++ b/tests/control/test_control_hosts.py
@@ -20,7 +20,7 @@
 
 
 async def _submit(client, number, sender='ci', **fields):
-    got = await client.ask(
+    got = await client.post(
         path='/v1/manifest',
         body={'number': number, 'sender': sender, **fields},
         timeout_s=10.0,
@@ -78,7 +78,7 @@
             )
             fences = [
                 (
-                    await client.ask(
+                    await client.post(
                         path='/v1/fences',
                         body={'name': 'runner-1'},
                         timeout_s=5.0,
@@ -145,7 +145,7 @@
                 lambda: not node.config.replica.in_touch(node.now_s)
             )
             began_s = time.monotonic()
-            got = await fleet.client('c1').ask(
+            got = await fleet.client('c1').post(
                 path='/v1/fences', body={'name': 'a'}, timeout_s=1.0
             )
             assert isinstance(got, control_client.NotRun)
@@ -240,7 +240,7 @@
             await fleet.until(lambda: fleet.leader(0) and fleet.leader(1))
             await fleet.until(lambda: 'c4' in node._heard)
             for host in ('c1', 'c2'):
-                got = await fleet.client(host).ask(
+                got = await fleet.client(host).post(
                     path='/v1/members/replace',
                     body={'old_host': 'c3', 'new_host': 'c4'},
                     timeout_s=5.0,
--- a/tests/control/test_submit.py
+++ b/tests/control/test_submit.py
@@ -101,7 +101,7 @@
             for start in range(10, 210, 20):
                 await asyncio.gather(
                     *(
-                        client.ask(
+                        client.post(
                             path='/v1/manifest',
                             body={'number': number},
                             timeout_s=5.0,
@@ -165,7 +165,7 @@
                     await fleet.stop(host)
             began_s = time.monotonic()
             client = fleet.client(leader)
-            lost = await client.ask(
+            lost = await client.post(
                 path='/v1/manifest', body={'number': 3}, timeout_s=1.0
             )
             assert time.monotonic() - began_s < 1.0 + ROOM_S
@@ -173,7 +173,7 @@
             for host in fleet.hosts:
                 if host != leader:
                     fleet.start(host)
-            again = await fleet.client().ask(
+            again = await fleet.client().post(
                 path='/v1/manifest', body={'number': 3}, timeout_s=10.0
             )
             assert again.body['outcome'] == 'accepted'
