--- a/limpetroute/dispatch/dispatch_component.py
+++ b/limpetroute/dispatch/dispatch_component.py
@@ -5,7 +5,7 @@
 from limpetroute.control import node as node_module
 from limpetroute.dispatch import dispatcher as dispatcher_module
 from limpetroute.dispatch import order_codec
-from limpetroute.dispatch import place_handlers
+from limpetroute.dispatch import placement_handlers
 
 
 class DispatchComponent:
@@ -34,16 +34,20 @@
         """Return what it serves on the port between hosts."""
         args = {'dispatcher': self._dispatcher}
         return [
-            web.url('/v1/places', place_handlers.PlaceHandler, args),
-            web.url('/v1/places/end', place_handlers.EndHandler, args),
-            web.url('/v1/places/read', place_handlers.ReadHandler, args),
+            web.url('/v1/places', placement_handlers.PlacementHandler, args),
+            web.url('/v1/places/end', placement_handlers.ReleaseHandler, args),
+            web.url(
+                '/v1/places/read', placement_handlers.PrefillDoneHandler, args
+            ),
             web.url(
                 '/v1/places/first-event',
-                place_handlers.FirstEventHandler,
+                placement_handlers.FirstEventHandler,
                 args,
             ),
-            web.url('/v1/places/held', place_handlers.HeldHandler, args),
-            web.url('/v1/limits', place_handlers.LimitHandler, args),
+            web.url(
+                '/v1/places/held', placement_handlers.RestoreHandler, args
+            ),
+            web.url('/v1/limits', placement_handlers.LimitHandler, args),
         ]
 
     def start(self) -> None:
--- a/limpetroute/dispatch/place_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -34,7 +34,7 @@
             return None
 
 
-class PlaceHandler(_Handler):
+class PlacementHandler(_Handler):
     """``POST /v1/places``: held until there is a place, or none."""
 
     _task: 'asyncio.Task[dispatcher_module.Answer | None] | None' = None
@@ -70,7 +70,7 @@
             self._task.cancel()
 
 
-class EndHandler(_Handler):
+class ReleaseHandler(_Handler):
     """``POST /v1/places/end``."""
 
     def post(self) -> None:
@@ -83,7 +83,7 @@
         self.set_status(204)
 
 
-class ReadHandler(_Handler):
+class PrefillDoneHandler(_Handler):
     """``POST /v1/places/read``."""
 
     def post(self) -> None:
@@ -111,7 +111,7 @@
         self.set_status(204)
 
 
-class HeldHandler(_Handler):
+class RestoreHandler(_Handler):
     """``POST /v1/places/held``."""
 
     def post(self) -> None:
--- a/tests/dispatch/test_place_handlers.py
+++ b/tests/dispatch/test_placement_handlers.py
@@ -6,7 +6,7 @@
 from tornado import web
 
 from limpetroute.border import forecast_header
-from limpetroute.dispatch import place_handlers
+from limpetroute.dispatch import placement_handlers
 from limpetroute.forwarding import scheduler_client
 from limpetroute.routing import forecast
 from limpetroute.routing import placement
@@ -41,7 +41,7 @@
     async def story():
         args = {'dispatcher': Dispatcher()}
         app = web.Application(
-            [('/v1/places', place_handlers.PlaceHandler, args)]
+            [('/v1/places', placement_handlers.PlacementHandler, args)]
         )
         server = httpserver.HTTPServer(app)
         (socket,) = netutil.bind_sockets(0, '127.0.0.1')
