--- a/limpetroute/control/routes_splitter.py
+++ b/limpetroute/control/routes_splitter.py
@@ -22,7 +22,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(running={len(self._running)!r})'
 
-    async def cut(self, state: control_state.ControlState) -> None:
+    async def split(self, state: control_state.ControlState) -> None:
         """Have the configuration in force cut, if it is not yet."""
         routes = state.routes
         if routes is None or state.recent_routes.is_split(routes.digest):
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -93,7 +93,9 @@
         """Whether this host leads, and surely no other."""
         return self._node.config.replica.lease_valid(boot_clock.now_s())
 
-    async def place(self, ask: placement.PlacementRequest) -> Answer | None:
+    async def request_placement(
+        self, ask: placement.PlacementRequest
+    ) -> Answer | None:
         """Return a stream's place, or None if this host cannot decide."""
         if not self.leads:
             return None
@@ -115,20 +117,22 @@
         finally:
             self._pending.pop(ask.request_id, None)
 
-    def withdraw(self, service: str, request_id: str) -> None:
+    def cancel(self, service: str, request_id: str) -> None:
         """Forget a stream whose caller is gone."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
             scheduler.withdraw(request_id)
 
-    def read(self, service: str, request_id: str, attempt: int) -> None:
+    def note_prefill_done(
+        self, service: str, request_id: str, attempt: int
+    ) -> None:
         """Take note that a prompt was read apart."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
             scheduler.read(request_id, attempt, boot_clock.now_s())
             self._request_pass(service)
 
-    def first_event(
+    def note_first_event(
         self, service: str, request_id: str, attempt: int, took_s: float
     ) -> None:
         """Take note of the first event after a decode runner's own reading."""
@@ -138,15 +142,15 @@
             scheduler.first_event(request_id, attempt, took_s, now_s)
             self._request_pass(service)
 
-    def end(self, service: str, end: placement.Release) -> None:
+    def release(self, service: str, release: placement.Release) -> None:
         """Take a place back."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.end(end, boot_clock.now_s())
+            scheduler.end(release, boot_clock.now_s())
             self._request_pass(service)
 
-    def take_limited(
-        self, report: runner_limits.Report, *, takes: bool
+    def acquire_token(
+        self, report: runner_limits.Report, *, has_request: bool
     ) -> float | None:
         """Return when a host may send to a limited runner; None if now.
 
@@ -154,21 +158,21 @@
         ----------
         report : Report
             What the runner named, as the host heard it.
-        takes : bool
+        has_request : bool
             Whether the host has a request to send.
         """
         self._note_term()
         now_s = boot_clock.now_s()
         runner_id = report.life.runner_id
         self._limits.note(report, now_s)
-        if not takes:
+        if not has_request:
             return None
         if self._limits.has_token(runner_id, now_s):
             self._limits.take(runner_id, now_s)
             return None
         return self._limits.turn_s(runner_id, now_s)
 
-    def adopt(
+    def restore(
         self, place: placement.Placement, ask: placement.PlacementRequest
     ) -> None:
         """Take note of a place that an earlier leader gave."""
--- a/limpetroute/dispatch/placement_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -45,7 +45,9 @@
         if asked is None:
             return
         assert isinstance(asked, place_bodies.AskBody)
-        self._task = asyncio.create_task(self.dispatcher.place(asked.ask()))
+        self._task = asyncio.create_task(
+            self.dispatcher.request_placement(asked.ask())
+        )
         try:
             answer = await self._task
         except asyncio.CancelledError:
@@ -79,7 +81,7 @@
         if body is None:
             return
         assert isinstance(body, place_bodies.EndBody)
-        self.dispatcher.end(body.service, body.end())
+        self.dispatcher.release(body.service, body.end())
         self.set_status(204)
 
 
@@ -92,7 +94,9 @@
         if body is None:
             return
         assert isinstance(body, place_bodies.ReadBody)
-        self.dispatcher.read(body.service, body.request_id, body.attempt)
+        self.dispatcher.note_prefill_done(
+            body.service, body.request_id, body.attempt
+        )
         self.set_status(204)
 
 
@@ -105,7 +109,7 @@
         if body is None:
             return
         assert isinstance(body, place_bodies.FirstEventBody)
-        self.dispatcher.first_event(
+        self.dispatcher.note_first_event(
             body.service, body.request_id, body.attempt, body.took_s
         )
         self.set_status(204)
@@ -121,7 +125,7 @@
             return
         assert isinstance(body, place_bodies.HeldBody)
         for one in body.held:
-            self.dispatcher.adopt(one.place(), one.asked.ask())
+            self.dispatcher.restore(one.place(), one.asked.ask())
         self.set_status(204)
 
 
@@ -138,7 +142,7 @@
             self.set_status(HTTP_MISDIRECTED)
             self.finish({'reason': 'this host does not lead'})
             return
-        wait_s = self.dispatcher.take_limited(
-            body.report(boot_clock.now_s()), takes=body.takes
+        wait_s = self.dispatcher.acquire_token(
+            body.report(boot_clock.now_s()), has_request=body.takes
         )
         self.finish({'allowed': wait_s is None, 'wait_s': wait_s or 0.0})
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -65,7 +65,7 @@
 
     async def place(self, name, **fields):
         ask = builders.make_ask(name, **fields)
-        return await self.dispatcher.place(ask)
+        return await self.dispatcher.request_placement(ask)
 
 
 def count_decisions(monkeypatch):
@@ -165,11 +165,11 @@
         first = []
         for n in range(24):
             first.append(await leader.place(f's{n}', output_tokens=300))
-            leader.dispatcher.read('model', f's{n}', 0)
+            leader.dispatcher.note_prefill_done('model', f's{n}', 0)
         waits = asyncio.create_task(leader.place('next', target_s=9.0))
         await asyncio.sleep(0.02)
         assert not waits.done()
-        leader.dispatcher.end(
+        leader.dispatcher.release(
             'model', placement.Release(request_id=first[0].request_id)
         )
         return await asyncio.wait_for(waits, 1.0)
--- a/tests/dispatch/test_placement_handlers.py
+++ b/tests/dispatch/test_placement_handlers.py
@@ -26,9 +26,9 @@
 
 
 class Dispatcher:
-    async def place(self, ask):
+    async def request_placement(self, request):
         return placement.Placement(
-            request_id=ask.request_id,
+            request_id=request.request_id,
             decode_id='d',
             prefill_id='p',
             forecast=EXPECTED,
