--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -319,7 +319,7 @@
             scheduler = self._schedulers.get(service.name)
             gone_s = scheduler.gone_s(runners, now_s) if scheduler else {}
             rates = scheduler.rates if scheduler else None
-            self._orders.keep(
+            self._orders.reconcile(
                 service, runners, now_s, gone_s=gone_s, rates=rates
             )
 
--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -97,7 +97,7 @@
         """
         return frozenset(self._accepted.intersection(self._ordered_s))
 
-    def keep(
+    def reconcile(
         self,
         service: service_module.Service,
         runners: typing.Sequence[runner_info.RunnerInfo],
--- a/tests/dispatch/test_late_orders.py
+++ b/tests/dispatch/test_late_orders.py
@@ -62,13 +62,13 @@
     """Keep the runners' stages for a while."""
 
     async def work():
-        keeper = stage_orders.StageOrders(
+        controller = stage_orders.StageOrders(
             holder='c1', codec=orders.Orders(), http=runners
         )
-        keeper.begin_term(1, 0.0)
+        controller.begin_term(1, 0.0)
         service = builders.make_service('model', builders.ENGINE)
         while runners.now_s < PLAYED_S:
-            keeper.keep(service, runners.announced(), runners.now_s)
+            controller.reconcile(service, runners.announced(), runners.now_s)
             runners.now_s += TICK_S
             await asyncio.sleep(0)
 
--- a/tests/dispatch/test_stage_orders.py
+++ b/tests/dispatch/test_stage_orders.py
@@ -43,15 +43,15 @@
     """Look at the fleets every 50 ms, as the dispatcher does."""
 
     async def work():
-        orders_ = make_orders(calls)
-        orders_.begin_term(term, 0.0)
+        controller = make_orders(calls)
+        controller.begin_term(term, 0.0)
         now_s = 0.0
         while now_s < seconds:
             for name in services:
-                orders_.keep(service(name), given[name], now_s)
+                controller.reconcile(service(name), given[name], now_s)
             now_s += 0.05
             await asyncio.sleep(0)
-        return orders_
+        return controller
 
     asyncio.run(work())
 
@@ -107,17 +107,17 @@
     """
 
     async def work():
-        orders_ = make_orders(Calls())
-        orders_.begin_term(1, 0.0)
+        controller = make_orders(Calls())
+        controller.begin_term(1, 0.0)
         before = fleet(builders.PREFILL, builders.PREFILL, builders.DECODE)
         after = fleet(builders.PREFILL, builders.DECODE, builders.DECODE)
         seen = {}
         for tick in range(200):
             now_s = tick * 0.05
             runners = before if now_s < 8.0 else after
-            orders_.keep(service(), runners, now_s)
+            controller.reconcile(service(), runners, now_s)
             await asyncio.sleep(0)
-            seen[now_s] = orders_.changing()
+            seen[now_s] = controller.changing()
         return seen
 
     seen = asyncio.run(work())
@@ -136,14 +136,16 @@
 
     async def work():
         calls = Calls()
-        orders_ = make_orders(calls)
-        orders_.begin_term(1, 0.0)
+        controller = make_orders(calls)
+        controller.begin_term(1, 0.0)
         decode = builders.DECODE
         early = fleet(decode, decode)
         late = fleet(decode, decode, builders.PREFILL, builders.PREFILL)
         for tick in range(200):
             now_s = tick * 0.05
-            orders_.keep(service(), early if now_s < 2.4 else late, now_s)
+            controller.reconcile(
+                service(), early if now_s < 2.4 else late, now_s
+            )
             await asyncio.sleep(0)
         return calls
 
@@ -178,13 +180,13 @@
     """
 
     async def work(calls):
-        orders_ = make_orders(calls)
-        orders_.begin_term(2, 0.0)
+        controller = make_orders(calls)
+        controller.begin_term(2, 0.0)
         runners = fleet(builders.PREFILL, builders.PREFILL, builders.DECODE)
         for tick in range(200):
-            orders_.keep(service(), runners, tick * 0.05)
+            controller.reconcile(service(), runners, tick * 0.05)
             await asyncio.sleep(0.001)
-        return orders_.changing()
+        return controller.changing()
 
     calls = Reports(busy=('r1',))
     assert asyncio.run(work(calls)) == frozenset({'r1'})
@@ -204,8 +206,8 @@
 
     async def work():
         calls = Calls()
-        orders_ = make_orders(calls)
-        orders_.begin_term(1, 0.0)
+        controller = make_orders(calls)
+        controller.begin_term(1, 0.0)
         decode = builders.DECODE
         reader = builders.make_runner('p', builders.PREFILL)
         left = builders.make_runner('p', builders.PREFILL, ready=False)
@@ -220,7 +222,7 @@
                 for n, one in enumerate(old)
                 if now_s < 11.0 + n
             ]
-            orders_.keep(service(), runners, now_s)
+            controller.reconcile(service(), runners, now_s)
             await asyncio.sleep(0)
             if calls.bodies:
                 return now_s, calls.bodies
@@ -235,12 +237,14 @@
 
     async def work():
         calls = Calls()
-        orders_ = make_orders(calls)
-        orders_.begin_term(1, 0.0)
+        controller = make_orders(calls)
+        controller.begin_term(1, 0.0)
         now_s = 0.0
         while now_s < seconds:
             gone_s = gone_at(now_s) if gone_at else {}
-            orders_.keep(service(), runners_at(now_s), now_s, gone_s=gone_s)
+            controller.reconcile(
+                service(), runners_at(now_s), now_s, gone_s=gone_s
+            )
             await asyncio.sleep(0)
             if calls.bodies:
                 return now_s, calls.bodies[0]['stage']
--- a/tests/dispatch/test_started_again.py
+++ b/tests/dispatch/test_started_again.py
@@ -64,18 +64,18 @@
 
     async def work():
         http = Accepting()
-        keeper = stage_orders.StageOrders(
+        controller = stage_orders.StageOrders(
             holder='c1', codec=orders.Orders(), http=http
         )
-        keeper.begin_term(1, 0.0)
+        controller.begin_term(1, 0.0)
         service = builders.make_service('model', builders.ENGINE)
         runners = [builders.make_runner(f'r{n}', port=n) for n in range(1, 5)]
         now_s = 0.0
         while not http.given:
-            keeper.keep(service, runners, now_s)
+            controller.reconcile(service, runners, now_s)
             await asyncio.sleep(0)
             now_s += 0.05
-        (ordered,) = keeper.changing()
+        (ordered,) = controller.changing()
         again = [
             builders.make_runner(
                 one.runner_id,
@@ -84,7 +84,7 @@
             )
             for one in runners
         ]
-        keeper.keep(service, again, now_s)
-        assert not keeper.changing()
+        controller.reconcile(service, again, now_s)
+        assert not controller.changing()
 
     asyncio.run(work())
