--- a/limpetroute/control/founding_file.py
+++ b/limpetroute/control/bootstrap_file.py
@@ -6,14 +6,14 @@
 from limpetroute.control import files as files_module
 from limpetroute.control import folder_error
 
-FOUNDING = 'founding.json'
+BOOTSTRAP_FILE = 'founding.json'
 
 
 def load(
     *, folder: pathlib.Path, files: files_module.Files
 ) -> dict[str, str] | None:
     """Return each founding host's replica, or None."""
-    path = folder / FOUNDING
+    path = folder / BOOTSTRAP_FILE
     data = files.read(path)
     if data is None:
         return None
@@ -33,4 +33,4 @@
     replicas: dict[str, str],
 ) -> None:
     """Write each founding host's replica."""
-    files.replace(folder / FOUNDING, json.dumps(replicas).encode())
+    files.replace(folder / BOOTSTRAP_FILE, json.dumps(replicas).encode())
--- a/limpetroute/control/data_folder.py
+++ b/limpetroute/control/data_folder.py
@@ -5,10 +5,10 @@
 from limpetroute.agreement import founding as founding_module
 from limpetroute.agreement import saved_state
 from limpetroute.agreement import snapshot as snapshot_module
+from limpetroute.control import bootstrap_file
 from limpetroute.control import files as files_module
 from limpetroute.control import folder_error
 from limpetroute.control import folder_lock
-from limpetroute.control import founding_file
 from limpetroute.control import identity
 from limpetroute.control import journal as journal_module
 
@@ -26,7 +26,7 @@
         The file system.
     rewrite_bytes : int
         See `Journal`.
-    founders : dict of str to str or None
+    bootstrap_replicas : dict of str to str or None
         Each founding host's replica, if an empty folder of this host is
         to found a group with them.
 
@@ -43,7 +43,7 @@
         host_id: str,
         files: files_module.Files | None = None,
         rewrite_bytes: int = journal_module.REWRITE_BYTES,
-        founders: dict[str, str] | None = None,
+        bootstrap_replicas: dict[str, str] | None = None,
     ) -> None:
         self.folder = folder
         self._files = files or files_module.DiskFiles()
@@ -54,7 +54,7 @@
         except OSError as exc:
             raise folder_error.FolderError(message=f'{folder}: {exc}') from exc
         try:
-            self._open(host_id, rewrite_bytes, founders or {})
+            self._open(host_id, rewrite_bytes, bootstrap_replicas or {})
         except OSError as exc:
             self._lock.close()
             raise folder_error.FolderError(message=f'{folder}: {exc}') from exc
@@ -66,7 +66,10 @@
         return f'{type(self).__name__}(folder={str(self.folder)!r})'
 
     def _open(
-        self, host_id: str, rewrite_bytes: int, founders: dict[str, str]
+        self,
+        host_id: str,
+        rewrite_bytes: int,
+        bootstrap_replicas: dict[str, str],
     ) -> None:
         journal_path = self.folder / journal_module.JOURNAL
         has_journal = self._files.read(journal_path) is not None
@@ -83,42 +86,46 @@
             files=self._files,
             rewrite_bytes=rewrite_bytes,
         )
-        self.founding = founding_file.load(
+        self.bootstrap_replicas = bootstrap_file.load(
             folder=self.folder, files=self._files
         )
-        founder_id = ''
-        if known is None and self.journal.blank and host_id in founders:
+        bootstrap_id = ''
+        if (
+            known is None
+            and self.journal.blank
+            and host_id in bootstrap_replicas
+        ):
             # The founding comes before the identity: a crash between
             # the two leaves a folder that founds the same group again,
             # with the seeds that it was first given.
-            if self.founding is None:
-                self.found(founders)
-            founder_id = founders[host_id]
+            if self.bootstrap_replicas is None:
+                self.bootstrap(bootstrap_replicas)
+            bootstrap_id = bootstrap_replicas[host_id]
         self.replica_id = identity.load_or_make(
             folder=self.folder,
             files=self._files,
             host_id=host_id,
             journal_blank=self.journal.blank,
-            founder_id=founder_id,
+            bootstrap_id=bootstrap_id,
         )
 
     @property
     def blank(self) -> bool:
         """Whether this replica belongs to no group yet."""
-        return self.founding is None and self.journal.blank
+        return self.bootstrap_replicas is None and self.journal.blank
 
-    def found(self, replicas: dict[str, str]) -> None:
+    def bootstrap(self, replicas: dict[str, str]) -> None:
         """Keep the replicas that the groups begin with."""
-        founding_file.save(
+        bootstrap_file.save(
             folder=self.folder, files=self._files, replicas=replicas
         )
-        self.founding = replicas
+        self.bootstrap_replicas = replicas
 
     def saved(self, group: int) -> saved_state.SavedState:
         """Return what a group's replica starts from."""
         first = snapshot_module.Snapshot()
-        if self.founding is not None:
-            first = founding_module.found(self.founding).snapshot
+        if self.bootstrap_replicas is not None:
+            first = founding_module.found(self.bootstrap_replicas).snapshot
         return self.journal.saved(group, first)
 
     def close(self) -> None:
--- a/limpetroute/control/identity.py
+++ b/limpetroute/control/identity.py
@@ -19,7 +19,7 @@
     files: files_module.Files,
     host_id: str,
     journal_blank: bool,
-    founder_id: str = '',
+    bootstrap_id: str = '',
 ) -> str:
     """Return the identity of a data folder's replica.
 
@@ -27,7 +27,7 @@
     votes and acknowledgements; a host that answered under its former
     identity could elect a second leader of a term, or make a quorum
     without the entries that it once acknowledged. Only a group's first
-    replicas have an identity that is known beforehand, ``founder_id``:
+    replicas have an identity that is known beforehand, ``bootstrap_id``:
     the one who passes it promises that this host was never part of the
     group before.
 
@@ -47,7 +47,7 @@
                 'and start again: the host comes back as a new replica'
             )
         )
-    replica_id = founder_id or f'{host_id}.{secrets.token_hex(6)}'
+    replica_id = bootstrap_id or f'{host_id}.{secrets.token_hex(6)}'
     files.replace(
         path,
         json.dumps({'host_id': host_id, 'replica_id': replica_id}).encode(),
--- a/limpetroute/control/journal.py
+++ b/limpetroute/control/journal.py
@@ -75,7 +75,7 @@
         return f'{type(self).__name__}(folder={str(self._folder)!r})'
 
     def saved(
-        self, group: int, founding: snapshot_module.Snapshot
+        self, group: int, bootstrap: snapshot_module.Snapshot
     ) -> saved_state.SavedState:
         """Return what a group's replica starts from.
 
@@ -83,11 +83,11 @@
         ----------
         group : int
             Number of the group.
-        founding : Snapshot
+        bootstrap : Snapshot
             Stands in while the group has no snapshot of its own.
         """
         image = self._images.setdefault(group, group_image.GroupImage())
-        return image.saved(self._snapshots.get(group, founding))
+        return image.saved(self._snapshots.get(group, bootstrap))
 
     def write(self, batch: typing.Sequence[GroupWrites]) -> None:
         """Write a batch; it is on disk on return.
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -225,7 +225,7 @@
             if batch.founding.get(self.settings.host_id) == (
                 self.folder.replica_id
             ):
-                self._found(batch.founding)
+                self._bootstrap(batch.founding)
         for body in batch.envelopes:
             if body.group >= len(self.groups):
                 continue
@@ -335,7 +335,7 @@
             replica_id=self.folder.replica_id,
             url=self.url,
             blank=self._is_pristine(),
-            founding=self.folder.founding,
+            founding=self.folder.bootstrap_replicas,
             replacements=self.replacements.bodies(self.now_s),
             urls=self.urls if self.settings.seeds else [],
         )
@@ -367,7 +367,7 @@
                 return False
         return True
 
-    def _found_if_all_blank(self) -> None:
+    def _bootstrap_if_all_blank(self) -> None:
         """Found the groups once every host is here with an empty disk.
 
         Only all hosts together may do so: two that came back empty
@@ -385,11 +385,11 @@
         if len(replicas) != len(self.settings.peer_urls) + 1:
             return
         if min(replicas) == self.settings.host_id:
-            self._found(replicas)
+            self._bootstrap(replicas)
 
-    def _found(self, replicas: dict[str, str]) -> None:
+    def _bootstrap(self, replicas: dict[str, str]) -> None:
         try:
-            self.folder.found(replicas)
+            self.folder.bootstrap(replicas)
         except OSError as exc:
             LOG.error('cannot write the founding: %s', exc)
             self._on_failed(f'disk: {exc}')
@@ -477,7 +477,7 @@
         forget_due_s = self.now_s + FORGET_EVERY_S
         while True:
             await asyncio.sleep(period_s)
-            self._found_if_all_blank()
+            self._bootstrap_if_all_blank()
             for group in self.groups:
                 group.feed(events.Tick())
                 self._bring_replicas_in(group)
--- a/limpetroute/control/seeds.py
+++ b/limpetroute/control/seeds.py
@@ -2,7 +2,7 @@
 
 import typing
 
-FOUNDER = 'founder'
+BOOTSTRAP_SUFFIX = 'founder'
 
 
 def host_of(seed: str) -> str:
@@ -10,7 +10,7 @@
     return seed.rpartition(':')[0].strip('[]')
 
 
-def founders(seeds: typing.Sequence[str]) -> dict[str, str]:
+def bootstrap_replicas(seeds: typing.Sequence[str]) -> dict[str, str]:
     """Return each seed host's replica in the group that they found.
 
     All seeds are given the same list at the first start, so each can
@@ -19,7 +19,7 @@
     they found the same one, in which only a majority decides.
     """
     hosts = [host_of(seed) for seed in seeds]
-    return {host: f'{host}.{FOUNDER}' for host in hosts}
+    return {host: f'{host}.{BOOTSTRAP_SUFFIX}' for host in hosts}
 
 
 def url(*, host: str, scheme: str, port: int) -> str:
--- a/limpetroute/control/server.py
+++ b/limpetroute/control/server.py
@@ -73,7 +73,7 @@
             host_id=settings.host_id,
             files=self._files,
             rewrite_bytes=settings.rewrite_bytes,
-            founders=_founders(settings),
+            bootstrap_replicas=_bootstrap_replicas(settings),
         )
 
     def _reopen_folder(self) -> data_folder.DataFolder:
@@ -134,12 +134,12 @@
             await self.node.stop()
 
 
-def _founders(
+def _bootstrap_replicas(
     settings: control_settings.ControlSettings,
 ) -> dict[str, str] | None:
     if not settings.seeds or not settings.may_found:
         return None
-    return seeds.founders(settings.seeds)
+    return seeds.bootstrap_replicas(settings.seeds)
 
 
 def _routes(node: node_module.Node) -> list[tornado.web.URLSpec]:
--- a/tests/control/test_seeds.py
+++ b/tests/control/test_seeds.py
@@ -68,7 +68,7 @@
             fleet.start(host)
         await fleet.until(lambda: fleet.voters() == sorted(HOSTS))
         terms = {
-            server.node.folder.founding is not None
+            server.node.folder.bootstrap_replicas is not None
             for host, server in fleet.servers.items()
             if host in SEEDS
         }
