--- a/limpetroute/control/command_submitter.py
+++ b/limpetroute/control/command_submitter.py
@@ -72,7 +72,7 @@
         self, *, version: int, digest: str, text: str
     ) -> routes_store.RoutesTaken | Unconfirmed:
         """Have a routing configuration committed."""
-        if not self._node.is_full():
+        if not self._node.is_complete():
             return Unconfirmed(reason='the group is not complete yet')
         command = commands.SubmitRoutes(
             version=version, digest=digest, text=text
@@ -177,7 +177,7 @@
                 extra={'runner': command.runner_id, 'service': service},
             )
             return UnknownService(service=service)
-        if not group.state.runners.adds_something(command):
+        if not group.state.runners.is_update(command):
             return results.Done()
         got = await self._commit(command)
         LOG.info(
@@ -198,7 +198,9 @@
     ) -> results.Done | Unconfirmed:
         """Take a runner's farewell."""
         runners = self._node.config.state.runners
-        if not runners.may_leave(command.runner_id, command.started_ms):
+        if not runners.is_valid_departure(
+            command.runner_id, command.started_ms
+        ):
             return results.Done()
         got = await self._commit(command)
         LOG.info(
--- a/limpetroute/control/host_reports.py
+++ b/limpetroute/control/host_reports.py
@@ -15,7 +15,7 @@
     """
 
     number: int
-    heard_s: float
+    last_seen_s: float
     change: int = 0
 
 
@@ -41,25 +41,25 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(hosts={len(self._reports)!r})'
 
-    def note(self, host_id: str, number: int, heard_s: float) -> None:
+    def note(self, host_id: str, number: int, last_seen_s: float) -> None:
         """Take a report; an older one than known is dropped."""
         old = self._reports.get(host_id)
         if old is None and len(self._reports) >= MAX_HOSTS:
             return
-        if old is not None and heard_s < old.heard_s:
+        if old is not None and last_seen_s < old.last_seen_s:
             return
         change = old.change if old is not None else 0
         if old is None or old.number != number:
             self.changes += 1
             change = self.changes
         self._reports[host_id] = HostReport(
-            number=number, heard_s=heard_s, change=change
+            number=number, last_seen_s=last_seen_s, change=change
         )
 
     def expire(self, now_s: float) -> None:
         """Forget hosts that were silent for long."""
         for host_id, report in list(self._reports.items()):
-            if now_s - report.heard_s > self._forget_s:
+            if now_s - report.last_seen_s > self._forget_s:
                 del self._reports[host_id]
 
     def behind(self, number: int) -> list[str]:
@@ -70,12 +70,12 @@
             if report.number < number
         )
 
-    def away(self, now_s: float) -> list[str]:
+    def unresponsive(self, now_s: float) -> list[str]:
         """Return known hosts that are silent."""
         return sorted(
             host_id
             for host_id, report in self._reports.items()
-            if now_s - report.heard_s > self._live_s
+            if now_s - report.last_seen_s > self._live_s
         )
 
     def all(self) -> dict[str, HostReport]:
@@ -97,14 +97,14 @@
         """
         return {
             host_id: peer_batch.HostReportBody(
-                number=report.number, age_s=now_s - report.heard_s
+                number=report.number, age_s=now_s - report.last_seen_s
             )
             for host_id, report in self._reports.items()
             if report.change > after_change
-            and now_s - report.heard_s <= self._live_s
+            and now_s - report.last_seen_s <= self._live_s
         }
 
-    def take(
+    def receive(
         self, bodies: dict[str, peer_batch.HostReportBody], now_s: float
     ) -> None:
         """Take what a peer has heard."""
--- a/limpetroute/control/manifest_handler.py
+++ b/limpetroute/control/manifest_handler.py
@@ -109,7 +109,7 @@
         until_s = self.node.now_s + wait_s
         while True:
             behind = self.node.reports.behind(number)
-            away = self.node.reports.away(self.node.now_s)
+            away = self.node.reports.unresponsive(self.node.now_s)
             if not set(behind) - set(away) or self.node.now_s >= until_s:
                 return behind
             await asyncio.sleep(LOOK_S)
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -38,7 +38,7 @@
 
 CONFIG_GROUP = 0
 HELLO_HEARTBEATS = 4
-HEARD_S = 3.0
+SEEN_HOST_TTL_S = 3.0
 HOST_LIVE_S = 10.0
 HOST_FORGET_S = 86400.0
 FORGET_EVERY_S = 5.0
@@ -50,11 +50,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Heard:
+class _SeenHost:
     replica_id: str
     url: str
     blank: bool
-    heard_s: float
+    last_seen_s: float
 
 
 class Node:
@@ -107,7 +107,7 @@
         )
         trust = settings.credentials()
         self._http = caller.Caller(tls=trust.client_tls, token=trust.token)
-        self._heard: dict[str, _Heard] = {}
+        self._seen_hosts: dict[str, _SeenHost] = {}
         self._links: dict[str, peer_link.PeerLink] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self._reopen = reopen
@@ -149,9 +149,9 @@
         """Return a control host's address, or nothing."""
         if host_id == self.settings.host_id:
             return self.url
-        heard = self._heard.get(host_id)
-        if heard:
-            return heard.url
+        seen = self._seen_hosts.get(host_id)
+        if seen:
+            return seen.url
         if self.settings.seeds and host_id:
             return self._seed_url(host_id)
         return ''
@@ -160,14 +160,14 @@
     def urls(self) -> list[str]:
         """Control hosts heard of late, this one among them."""
         now_s = self.now_s
-        heard = [
+        seen = [
             one.url
-            for one in self._heard.values()
-            if now_s - one.heard_s <= HEARD_S
+            for one in self._seen_hosts.values()
+            if now_s - one.last_seen_s <= SEEN_HOST_TTL_S
         ]
-        return [self.url, *heard]
+        return [self.url, *seen]
 
-    def is_full(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the group bears all the losses it should.
 
         Right after the founding a group of seeds is smaller. What it
@@ -202,25 +202,25 @@
         await self._disk.stop()
         self.folder.close()
 
-    def take(self, batch: peer_batch.PeerBatch) -> None:
+    def receive(self, batch: peer_batch.PeerBatch) -> None:
         """Take what another control host posted."""
         if batch.host_id == self.settings.host_id:
             LOG.error('%s has this host_id too: %s', batch.url, batch.host_id)
             return
         now_s = self.now_s
-        self._heard[batch.host_id] = _Heard(
+        self._seen_hosts[batch.host_id] = _SeenHost(
             replica_id=batch.replica_id,
             url=batch.url,
             blank=batch.blank,
-            heard_s=now_s,
+            last_seen_s=now_s,
         )
         if batch.url not in self._links:
             self._add_link(batch.url)
         for url in batch.urls:
             if url != self.url and url not in self._links:
                 self._add_link(url)
-        self.reports.take(batch.hosts, now_s)
-        self.replacements.take(batch.replacements, now_s)
+        self.reports.receive(batch.hosts, now_s)
+        self.replacements.receive(batch.replacements, now_s)
         if batch.founding is not None and self._is_pristine():
             if batch.founding.get(self.settings.host_id) == (
                 self.folder.replica_id
@@ -242,7 +242,7 @@
         str
             What stands in the way, or nothing.
         """
-        if new_host not in self._heard:
+        if new_host not in self._seen_hosts:
             return f'new_host: {new_host!r} has not been heard'
         if self.config.replica.membership.of_host(old_host) is None:
             return f'old_host: {old_host!r} has no replica here'
@@ -378,10 +378,13 @@
         if not self.settings.may_found or not self._is_pristine():
             return
         replicas = {self.settings.host_id: self.folder.replica_id}
-        for host_id, heard in self._heard.items():
-            if not heard.blank or self.now_s - heard.heard_s > HEARD_S:
+        for host_id, seen in self._seen_hosts.items():
+            if (
+                not seen.blank
+                or self.now_s - seen.last_seen_s > SEEN_HOST_TTL_S
+            ):
                 return
-            replicas[host_id] = heard.replica_id
+            replicas[host_id] = seen.replica_id
         if len(replicas) != len(self.settings.peer_urls) + 1:
             return
         if min(replicas) == self.settings.host_id:
@@ -410,15 +413,15 @@
             self._turn_over(group)
             return
         wanted = self._wanted_voters()
-        for host_id, heard in self._heard.items():
-            if self.now_s - heard.heard_s > HEARD_S:
+        for host_id, seen in self._seen_hosts.items():
+            if self.now_s - seen.last_seen_s > SEEN_HOST_TTL_S:
                 continue
             if host_id in self.replacements:
                 continue
             change = replacement.next_change(
                 replica.membership,
                 host_id=host_id,
-                replica_id=heard.replica_id,
+                replica_id=seen.replica_id,
             )
             if change is None:
                 continue
@@ -457,9 +460,9 @@
     def _turn_over(self, group: group_module.Group) -> None:
         now_s = self.now_s
         present = {self.settings.host_id: self.folder.replica_id}
-        for host_id, heard in self._heard.items():
-            if now_s - heard.heard_s <= HEARD_S:
-                present[host_id] = heard.replica_id
+        for host_id, seen in self._seen_hosts.items():
+            if now_s - seen.last_seen_s <= SEEN_HOST_TTL_S:
+                present[host_id] = seen.replica_id
         change = self._turnover.next_change(
             replica=group.replica,
             present=present,
--- a/limpetroute/control/peer_handlers.py
+++ b/limpetroute/control/peer_handlers.py
@@ -14,7 +14,7 @@
         batch = self.parse(peer_batch.PeerBatch)
         if batch is None:
             return
-        self.node.take(batch)
+        self.node.receive(batch)
         self.set_status(204)
 
 
--- a/limpetroute/control/replacements.py
+++ b/limpetroute/control/replacements.py
@@ -67,7 +67,7 @@
             for old, one in self._orders.items()
         }
 
-    def take(
+    def receive(
         self, bodies: dict[str, peer_batch.ReplacementBody], now_s: float
     ) -> None:
         """Take what a peer tells."""
--- a/limpetroute/control/runner_table.py
+++ b/limpetroute/control/runner_table.py
@@ -77,7 +77,7 @@
         rows = [row for row in rows if row.changed_index <= last]
         return rows, last
 
-    def adds_something(self, command: commands.NoteRunner) -> bool:
+    def is_update(self, command: commands.NoteRunner) -> bool:
         """Return whether an announcement says what is not known yet.
 
         Most heartbeats repeat the last one; only the others are worth a
@@ -112,7 +112,7 @@
         A new runner takes over its address: the one that held it has
         crashed without a word, as two processes cannot share it.
         """
-        if not self.adds_something(command):
+        if not self.is_update(command):
             return
         former = self.at_address(command.address)
         if former is not None and former.runner_id != command.runner_id:
@@ -129,7 +129,7 @@
         )
         self.changed_index = index
 
-    def may_leave(self, runner_id: str, started_ms: int = 0) -> bool:
+    def is_valid_departure(self, runner_id: str, started_ms: int = 0) -> bool:
         """Return whether a farewell says what is not known yet.
 
         One of an earlier start that comes late adds nothing: the runner
@@ -149,7 +149,7 @@
 
         ``started_ms`` tells which start of it said so; 0 if not told.
         """
-        if not self.may_leave(runner_id, started_ms):
+        if not self.is_valid_departure(runner_id, started_ms):
             return
         known = self._rows.pop(runner_id, None) or self._gone.pop(
             runner_id, None
--- a/limpetroute/control/status.py
+++ b/limpetroute/control/status.py
@@ -10,7 +10,7 @@
     """Return a control host's status as JSON types."""
     now_s = node.now_s
     newest = node.config.state.newest
-    away = set(node.reports.away(now_s))
+    away = set(node.reports.unresponsive(now_s))
     return {
         'host_id': node.settings.host_id,
         'zone': node.settings.zone,
@@ -30,7 +30,7 @@
         'hosts': {
             host_id: {
                 'number': report.number,
-                'heard_s_ago': round(now_s - report.heard_s, 1),
+                'heard_s_ago': round(now_s - report.last_seen_s, 1),
                 'away': host_id in away,
             }
             for host_id, report in node.reports.all().items()
--- a/limpetroute/control/watch_handler.py
+++ b/limpetroute/control/watch_handler.py
@@ -82,7 +82,7 @@
 
     def _entry_hosts(self) -> int:
         reports = self.node.reports
-        return len(reports.all()) - len(reports.away(self.node.now_s))
+        return len(reports.all()) - len(reports.unresponsive(self.node.now_s))
 
     def _is_in_touch(self) -> bool:
         """Return whether this host hears a leader and has kept up.
--- a/tests/control/test_command_submitter.py
+++ b/tests/control/test_command_submitter.py
@@ -128,7 +128,7 @@
     class Passing(Host):
         settings = types.SimpleNamespace(host_id='follower')
 
-        def is_full(self):
+        def is_complete(self):
             return True
 
         def url_of(self, host_id):
--- a/tests/control/test_control_hosts.py
+++ b/tests/control/test_control_hosts.py
@@ -238,7 +238,7 @@
             fleet.ports['c4'] = control_fleet.free_port()
             fleet.start('c4', peers=('c1', 'c2', 'c4'))
             await fleet.until(lambda: fleet.leader(0) and fleet.leader(1))
-            await fleet.until(lambda: 'c4' in node._heard)
+            await fleet.until(lambda: 'c4' in node._seen_hosts)
             for host in ('c1', 'c2'):
                 got = await fleet.client(host).post(
                     path='/v1/members/replace',
--- a/tests/control/test_replacements.py
+++ b/tests/control/test_replacements.py
@@ -11,8 +11,8 @@
     other = replacements.Replacements()
     one.note('c3', 'c4', 0.0)
     for now_s in range(0, 1300, 5):
-        other.take(one.bodies(now_s), now_s)
-        one.take(other.bodies(now_s), now_s)
+        other.receive(one.bodies(now_s), now_s)
+        one.receive(other.bodies(now_s), now_s)
         one.expire(now_s)
         other.expire(now_s)
     assert one.all() == other.all() == {}
@@ -22,8 +22,8 @@
     one = replacements.Replacements()
     other = replacements.Replacements()
     one.note('c3', 'c4', 0.0)
-    other.take(one.bodies(10.0), 10.0)
+    other.receive(one.bodies(10.0), 10.0)
     one.note('c4', 'c3', 20.0)
-    one.take(other.bodies(21.0), 21.0)
-    other.take(one.bodies(21.0), 21.0)
+    one.receive(other.bodies(21.0), 21.0)
+    other.receive(one.bodies(21.0), 21.0)
     assert one.all() == other.all() == {'c4': 'c3'}
--- a/tests/control/test_runner_table.py
+++ b/tests/control/test_runner_table.py
@@ -32,8 +32,8 @@
 def test_a_heartbeat_that_says_nothing_new_is_not_logged():
     table = runner_table.RunnerTable()
     table.note(note('a', 1), 1)
-    assert not table.adds_something(note('a', 2))
-    assert table.adds_something(note('a', 2, DRAINING))
+    assert not table.is_update(note('a', 2))
+    assert table.is_update(note('a', 2, DRAINING))
 
 
 def test_a_late_heartbeat_does_not_call_a_leaving_runner_back():
