--- a/limpetroute/control/control_client.py
+++ b/limpetroute/control/control_client.py
@@ -7,9 +7,9 @@
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
-TRY_S = 2.0
-PAUSE_S = 0.1
-MIN_TRY_S = 0.05
+ATTEMPT_TIMEOUT_S = 2.0
+RETRY_PAUSE_S = 0.1
+MIN_ATTEMPT_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -46,7 +46,7 @@
         Control hosts.
     http : Caller
         Makes the calls.
-    try_s : float
+    attempt_timeout_s : float
         Longest wait for one host.
     """
 
@@ -55,13 +55,13 @@
         *,
         urls: typing.Sequence[str],
         http: caller.Caller,
-        try_s: float = TRY_S,
+        attempt_timeout_s: float = ATTEMPT_TIMEOUT_S,
     ) -> None:
         if not urls:
             raise ValueError('no control host given: []')
         self._urls = [url.rstrip('/') for url in urls]
         self._http = http
-        self._try_s = try_s
+        self._attempt_timeout_s = attempt_timeout_s
         self._next_url = self._urls[0]
 
     def __repr__(self) -> str:
@@ -94,39 +94,39 @@
         reason = 'no control host answered'
         while True:
             left_s = until_s - loop.time()
-            if left_s < MIN_TRY_S:
+            if left_s < MIN_ATTEMPT_S:
                 break
             url = self._next_url
             got = await self._http.call(
                 method='POST',
                 url=url + path,
                 body=body,
-                timeout_s=min(left_s, self._try_s + server_wait_s),
+                timeout_s=min(left_s, self._attempt_timeout_s + server_wait_s),
             )
             if isinstance(got, call_failed.CallFailed):
                 sent = sent or got.sent
-                self._turn(url)
-                await asyncio.sleep(min(PAUSE_S, left_s / 10))
+                self._rotate(url)
+                await asyncio.sleep(min(RETRY_PAUSE_S, left_s / 10))
                 continue
             answer = _body(got.body, got.json)
             outcome = answer.get('outcome')
             if outcome == 'not_leader':
                 self._next_url = str(answer['leader_url']).rstrip('/')
                 # It may point at a host that is gone already.
-                await asyncio.sleep(PAUSE_S / 10)
+                await asyncio.sleep(RETRY_PAUSE_S / 10)
                 continue
             if outcome in ('not_run', 'unknown'):
                 sent = sent or outcome == 'unknown'
                 reason = str(answer.get('reason', ''))
-                self._turn(url)
-                await asyncio.sleep(min(PAUSE_S, left_s / 10))
+                self._rotate(url)
+                await asyncio.sleep(min(RETRY_PAUSE_S, left_s / 10))
                 continue
             return Answered(status=got.status, body=answer)
         if sent:
             return Unknown(reason=reason)
         return NotRun(reason=reason)
 
-    def _turn(self, tried: str) -> None:
+    def _rotate(self, tried: str) -> None:
         # Many questions share what is known of the leader. Turning away
         # from a host that another question has just found to lead, all
         # of them would walk round the dead host in step for seconds.
--- a/limpetroute/control/http_claim_store.py
+++ b/limpetroute/control/http_claim_store.py
@@ -9,7 +9,7 @@
 
 LOG = logging.getLogger(__name__)
 
-WITHDRAW_TRY_S = 10.0
+WITHDRAW_TIMEOUT_S = 10.0
 MAX_WITHDRAWALS = 10_000
 
 
@@ -137,7 +137,7 @@
             got = await self._client.post(
                 path='/v1/claims/withdraw',
                 body=body,
-                timeout_s=WITHDRAW_TRY_S,
+                timeout_s=WITHDRAW_TIMEOUT_S,
             )
             if isinstance(got, control_client.Answered):
                 del self._withdrawals[team, key]
--- a/limpetroute/control/disk_task.py
+++ b/limpetroute/control/journal_writer.py
@@ -10,7 +10,7 @@
 LOG = logging.getLogger(__name__)
 
 
-class DiskTask:
+class JournalWriter:
     """The task that owns the journal: one sync for all that waits.
 
     The sync runs in a thread, so that heartbeats go on while a slow
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -20,11 +20,11 @@
 from limpetroute.control import commands
 from limpetroute.control import control_state
 from limpetroute.control import data_folder
-from limpetroute.control import disk_task
 from limpetroute.control import folder_error
 from limpetroute.control import group as group_module
 from limpetroute.control import host_reports
 from limpetroute.control import journal as journal_module
+from limpetroute.control import journal_writer
 from limpetroute.control import peer_link
 from limpetroute.control import replacements
 from limpetroute.control import routes_splitter
@@ -112,7 +112,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._reopen = reopen
         self._max_batch = max_batch
-        self._disk = self._make_disk()
+        self._journal_writer = self._make_journal_writer()
         self.groups: list[group_module.Group] = []
         self._started_s = 0.0
         self._turnover = turnover.Turnover()
@@ -123,12 +123,12 @@
     @property
     def syncs(self) -> int:
         """Number of syncs so far."""
-        return self._disk.syncs
+        return self._journal_writer.syncs
 
     @property
     def links(self) -> dict[str, bool]:
         """Whether each other control host answers."""
-        return {url: link.answers for url, link in self._links.items()}
+        return {url: link.reachable for url, link in self._links.items()}
 
     @property
     def now_s(self) -> float:
@@ -184,7 +184,7 @@
     def start(self) -> None:
         """Begin to take part."""
         self._make_groups()
-        self._disk.start()
+        self._journal_writer.start()
         self._started_s = self.now_s
         for url in self.settings.peer_urls:
             self._add_link(url)
@@ -199,7 +199,7 @@
             task.cancel()
         for link in self._links.values():
             link.stop()
-        await self._disk.stop()
+        await self._journal_writer.stop()
         self.folder.close()
 
     def receive(self, batch: peer_batch.PeerBatch) -> None:
@@ -249,8 +249,8 @@
         self.replacements.note(old_host, new_host, self.now_s)
         return ''
 
-    def _make_disk(self) -> disk_task.DiskTask:
-        return disk_task.DiskTask(
+    def _make_journal_writer(self) -> journal_writer.JournalWriter:
+        return journal_writer.JournalWriter(
             journal=self.folder.journal,
             on_synced=self._on_synced,
             on_failed=self._on_failed,
@@ -276,11 +276,11 @@
                     extra={'reason': str(exc)},
                 )
                 continue
-            await self._disk.stop()
+            await self._journal_writer.stop()
             self.folder = folder
             self.failure = ''
-            self._disk = self._make_disk()
-            self._disk.start()
+            self._journal_writer = self._make_journal_writer()
+            self._journal_writer.start()
             self._make_groups()
             LOG.warning(
                 'the disk works again',
@@ -310,7 +310,7 @@
             )
 
     def _put(self, item: journal_module.GroupWrites) -> None:
-        self._disk.put(item)
+        self._journal_writer.put(item)
 
     def _make_state(self) -> control_state.ControlState:
         return control_state.ControlState(
@@ -321,7 +321,7 @@
         link = peer_link.PeerLink(
             url=url,
             http=self._http,
-            hello=self._hello,
+            make_hello=self._make_hello,
             reports=self.reports,
             hello_s=self.settings.heartbeat_s * HELLO_HEARTBEATS,
             timeout_s=self.settings.election_s * 0.4,
@@ -329,7 +329,7 @@
         self._links[url] = link
         link.start()
 
-    def _hello(self) -> peer_batch.PeerBatch:
+    def _make_hello(self) -> peer_batch.PeerBatch:
         return peer_batch.PeerBatch(
             host_id=self.settings.host_id,
             replica_id=self.folder.replica_id,
@@ -410,7 +410,7 @@
                 group.feed(events.RemoveMember(replica_id=former.replica_id))
                 return
         if self.settings.seeds:
-            self._turn_over(group)
+            self._reconcile_members(group)
             return
         wanted = self._wanted_voters()
         for host_id, seen in self._seen_hosts.items():
@@ -457,7 +457,7 @@
             return 2 * tolerated + 1
         return len(self.settings.peer_urls) + 1
 
-    def _turn_over(self, group: group_module.Group) -> None:
+    def _reconcile_members(self, group: group_module.Group) -> None:
         now_s = self.now_s
         present = {self.settings.host_id: self.folder.replica_id}
         for host_id, seen in self._seen_hosts.items():
--- a/limpetroute/control/peer_link.py
+++ b/limpetroute/control/peer_link.py
@@ -35,7 +35,7 @@
         Address of the other host.
     http : Caller
         Makes the calls.
-    hello : callable
+    make_hello : callable
         Returns a batch without envelopes and reports.
     reports : HostReports
         What was heard of entry hosts. All of it goes with a batch once in
@@ -52,15 +52,15 @@
         *,
         url: str,
         http: caller.Caller,
-        hello: typing.Callable[[], peer_batch.PeerBatch],
+        make_hello: typing.Callable[[], peer_batch.PeerBatch],
         reports: host_reports.HostReports,
         hello_s: float,
         timeout_s: float,
     ) -> None:
         self.url = url
-        self.answers = False
+        self.reachable = False
         self._http = http
-        self._hello = hello
+        self._make_hello = make_hello
         self._reports = reports
         self._reports_due_s = 0.0
         self._reported_changes = 0
@@ -145,7 +145,7 @@
         An entry that takes longer than a fixed deadline to send would
         be cut and sent again without end.
         """
-        hello = self._hello()
+        hello = self._make_hello()
         batch = hello.model_copy(
             update={'envelopes': envelopes, 'hosts': self._hosts()}
         )
@@ -156,9 +156,9 @@
             body=data,
             timeout_s=self._timeout_s + len(data) / slowest_bytes_per_s,
         )
-        answers = not isinstance(got, call_failed.CallFailed) and got.ok
-        if answers != self.answers:
-            self.answers = answers
-            state = 'answers' if answers else 'does not answer'
+        reachable = not isinstance(got, call_failed.CallFailed) and got.ok
+        if reachable != self.reachable:
+            self.reachable = reachable
+            state = 'reachable' if reachable else 'does not answer'
             LOG.info('control host %s %s', self.url, state)
-        return answers
+        return reachable
--- a/limpetroute/control/replacements.py
+++ b/limpetroute/control/replacements.py
@@ -6,7 +6,7 @@
 
 # A host told of an order for a little while after it has lapsed must not
 # bring it back; ages go with the orders, so all of them lapse together.
-LAPSE_S = 600.0
+REPLACEMENT_TTL_S = 600.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -55,7 +55,7 @@
     def expire(self, now_s: float) -> None:
         """Drop orders that have lapsed."""
         for old_host, one in list(self._orders.items()):
-            if now_s - one.since_s > LAPSE_S:
+            if now_s - one.since_s > REPLACEMENT_TTL_S:
                 del self._orders[old_host]
 
     def bodies(self, now_s: float) -> dict[str, peer_batch.ReplacementBody]:
@@ -72,5 +72,5 @@
     ) -> None:
         """Take what a peer tells."""
         for old_host, body in bodies.items():
-            if body.age_s <= LAPSE_S:
+            if body.age_s <= REPLACEMENT_TTL_S:
                 self.note(old_host, body.new_host, now_s - body.age_s)
--- a/limpetroute/control/trial_times.py
+++ b/limpetroute/control/trial_times.py
@@ -8,7 +8,7 @@
 # by themselves; a request that crashed another one has to wait for long.
 TRIAL_DELAYS_S = (2.0, 30.0, 600.0)
 # A request whose trials are spent starts anew after this long.
-LAPSE_S = 1800.0
+QUARANTINE_TTL_S = 1800.0
 
 
 class TrialTimes:
@@ -44,7 +44,7 @@
             while len(self._since) > quarantine.KEPT_REQUESTS:
                 self._since.popitem(last=False)
         self._since.move_to_end(fingerprint)
-        delay_s = LAPSE_S
+        delay_s = QUARANTINE_TTL_S
         if trials < len(TRIAL_DELAYS_S):
             delay_s = TRIAL_DELAYS_S[trials]
         return max(0.0, known[1] + delay_s - now_s)
--- a/tests/control/process_fleet.py
+++ b/tests/control/process_fleet.py
@@ -67,7 +67,9 @@
 
     def client(self):
         return control_client.ControlClient(
-            urls=list(self.urls.values()), http=self.http, try_s=1.0
+            urls=list(self.urls.values()),
+            http=self.http,
+            attempt_timeout_s=1.0,
         )
 
     async def status(self, host):
--- a/tests/control/test_peer_link.py
+++ b/tests/control/test_peer_link.py
@@ -57,7 +57,7 @@
         link = peer_link.PeerLink(
             url='http://127.0.0.1:1',
             http=posted,
-            hello=make_hello,
+            make_hello=make_hello,
             reports=reports,
             hello_s=HELLO_S,
             timeout_s=1.0,
