--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -72,7 +72,7 @@
         Opens the folder again after a write failed; None to stay
         stepped back.
     max_batch : int or None
-        See `DiskTask`.
+        See `JournalWriter`.
     """
 
     def __init__(
--- a/limpetroute/control/peer_link.py
+++ b/limpetroute/control/peer_link.py
@@ -159,6 +159,6 @@
         reachable = not isinstance(got, call_failed.CallFailed) and got.ok
         if reachable != self.reachable:
             self.reachable = reachable
-            state = 'reachable' if reachable else 'does not answer'
+            state = 'reachable' if reachable else 'unreachable'
             LOG.info('control host %s %s', self.url, state)
         return reachable
--- a/limpetroute/dispatch/dispatch_component.py
+++ b/limpetroute/dispatch/dispatch_component.py
@@ -15,7 +15,7 @@
     ----------
     node : Node
         The control host.
-    codec : OrderDialect
+    codec : OrderCodec
         Reads routing configurations and writes orders.
     """
 
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -46,7 +46,7 @@
     ----------
     node : Node
         This control host.
-    codec : OrderDialect
+    codec : OrderCodec
         Reads routing configurations and writes orders.
     """
 
--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -44,7 +44,7 @@
     ----------
     holder : str
         Name of this host in orders.
-    codec : OrderDialect
+    codec : OrderCodec
         Writes orders.
     http : Caller
         Calls runners.
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -240,7 +240,7 @@
         if not urls:
             return None
         client = control_client.ControlClient(
-            urls=urls, http=self._http, try_s=CALL_TIMEOUT_S / 2
+            urls=urls, http=self._http, attempt_timeout_s=CALL_TIMEOUT_S / 2
         )
         got = await client.post(path=path, body=body, timeout_s=CALL_TIMEOUT_S)
         if isinstance(got, control_client.Answered):
--- a/tests/control/test_command_submitter.py
+++ b/tests/control/test_command_submitter.py
@@ -8,7 +8,7 @@
 from limpetroute.control import command_submitter
 from limpetroute.control import commands
 from limpetroute.control import control_state
-from limpetroute.control import routes_splitter
+from limpetroute.control import routes_splitter as splitter_module
 from limpetroute.control import verdicts
 from limpetroute.wire import call_failed
 
@@ -38,8 +38,8 @@
 
     config: Group
     now_s: float = 0.0
-    routes_splitter: routes_splitter.RoutesSplitter = dataclasses.field(
-        default_factory=routes_splitter.RoutesSplitter
+    routes_splitter: splitter_module.RoutesSplitter = dataclasses.field(
+        default_factory=splitter_module.RoutesSplitter
     )
 
 
