--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -20,14 +20,14 @@
 from limpetroute.control import commands
 from limpetroute.control import control_state
 from limpetroute.control import data_folder
-from limpetroute.control import disk_task
 from limpetroute.control import folder_error
 from limpetroute.control import group as group_module
 from limpetroute.control import host_reports
 from limpetroute.control import journal as journal_module
+from limpetroute.control import journal_writer
 from limpetroute.control import peer_link
 from limpetroute.control import replacements
-from limpetroute.control import routes_cutter
+from limpetroute.control import routes_splitter
 from limpetroute.control import seeds as seeds_module
 from limpetroute.control import trial_times
 from limpetroute.telemetry import boot_clock
@@ -38,7 +38,7 @@
 
 CONFIG_GROUP = 0
 HELLO_HEARTBEATS = 4
-HEARD_S = 3.0
+SEEN_HOST_TTL_S = 3.0
 HOST_LIVE_S = 10.0
 HOST_FORGET_S = 86400.0
 FORGET_EVERY_S = 5.0
@@ -50,11 +50,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Heard:
+class _SeenHost:
     replica_id: str
     url: str
     blank: bool
-    heard_s: float
+    last_seen_s: float
 
 
 class Node:
@@ -72,7 +72,7 @@
         Opens the folder again after a write failed; None to stay
         stepped back.
     max_batch : int or None
-        See `DiskTask`.
+        See `JournalWriter`.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         )
         self.failure = ''
         self.replacements = replacements.Replacements()
-        self.cutter = routes_cutter.RoutesCutter()
+        self.routes_splitter = routes_splitter.RoutesSplitter()
         self.trial_times = trial_times.TrialTimes()
         self.loop_lag = loop_lag.LoopLag(
             log_from_s=settings.election_s * LOOP_LAG_LOG_PART
@@ -107,12 +107,12 @@
         )
         trust = settings.credentials()
         self._http = caller.Caller(tls=trust.client_tls, token=trust.token)
-        self._heard: dict[str, _Heard] = {}
+        self._seen_hosts: dict[str, _SeenHost] = {}
         self._links: dict[str, peer_link.PeerLink] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self._reopen = reopen
         self._max_batch = max_batch
-        self._disk = self._make_disk()
+        self._journal_writer = self._make_journal_writer()
         self.groups: list[group_module.Group] = []
         self._started_s = 0.0
         self._turnover = membership_reconciler.MembershipReconciler()
@@ -123,12 +123,12 @@
     @property
     def syncs(self) -> int:
         """Number of syncs so far."""
-        return self._disk.syncs
+        return self._journal_writer.syncs
 
     @property
     def links(self) -> dict[str, bool]:
         """Whether each other control host answers."""
-        return {url: link.answers for url, link in self._links.items()}
+        return {url: link.reachable for url, link in self._links.items()}
 
     @property
     def now_s(self) -> float:
@@ -149,9 +149,9 @@
         """Return a control host's address, or nothing."""
         if host_id == self.settings.host_id:
             return self.url
-        heard = self._heard.get(host_id)
-        if heard:
-            return heard.url
+        seen = self._seen_hosts.get(host_id)
+        if seen:
+            return seen.url
         if self.settings.seeds and host_id:
             return self._seed_url(host_id)
         return ''
@@ -160,14 +160,14 @@
     def urls(self) -> list[str]:
         """Control hosts heard of late, this one among them."""
         now_s = self.now_s
-        heard = [
+        seen = [
             one.url
-            for one in self._heard.values()
-            if now_s - one.heard_s <= HEARD_S
+            for one in self._seen_hosts.values()
+            if now_s - one.last_seen_s <= SEEN_HOST_TTL_S
         ]
-        return [self.url, *heard]
+        return [self.url, *seen]
 
-    def is_full(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the group bears all the losses it should.
 
         Right after the founding a group of seeds is smaller. What it
@@ -184,7 +184,7 @@
     def start(self) -> None:
         """Begin to take part."""
         self._make_groups()
-        self._disk.start()
+        self._journal_writer.start()
         self._started_s = self.now_s
         for url in self.settings.peer_urls:
             self._add_link(url)
@@ -199,33 +199,33 @@
             task.cancel()
         for link in self._links.values():
             link.stop()
-        await self._disk.stop()
+        await self._journal_writer.stop()
         self.folder.close()
 
-    def take(self, batch: peer_batch.PeerBatch) -> None:
+    def receive(self, batch: peer_batch.PeerBatch) -> None:
         """Take what another control host posted."""
         if batch.host_id == self.settings.host_id:
             LOG.error('%s has this host_id too: %s', batch.url, batch.host_id)
             return
         now_s = self.now_s
-        self._heard[batch.host_id] = _Heard(
+        self._seen_hosts[batch.host_id] = _SeenHost(
             replica_id=batch.replica_id,
             url=batch.url,
             blank=batch.blank,
-            heard_s=now_s,
+            last_seen_s=now_s,
         )
         if batch.url not in self._links:
             self._add_link(batch.url)
         for url in batch.urls:
             if url != self.url and url not in self._links:
                 self._add_link(url)
-        self.reports.take(batch.hosts, now_s)
-        self.replacements.take(batch.replacements, now_s)
+        self.reports.receive(batch.hosts, now_s)
+        self.replacements.receive(batch.replacements, now_s)
         if batch.founding is not None and self._is_pristine():
             if batch.founding.get(self.settings.host_id) == (
                 self.folder.replica_id
             ):
-                self._found(batch.founding)
+                self._bootstrap(batch.founding)
         for body in batch.envelopes:
             if body.group >= len(self.groups):
                 continue
@@ -242,15 +242,15 @@
         str
             What stands in the way, or nothing.
         """
-        if new_host not in self._heard:
+        if new_host not in self._seen_hosts:
             return f'new_host: {new_host!r} has not been heard'
         if self.config.replica.membership.of_host(old_host) is None:
             return f'old_host: {old_host!r} has no replica here'
         self.replacements.note(old_host, new_host, self.now_s)
         return ''
 
-    def _make_disk(self) -> disk_task.DiskTask:
-        return disk_task.DiskTask(
+    def _make_journal_writer(self) -> journal_writer.JournalWriter:
+        return journal_writer.JournalWriter(
             journal=self.folder.journal,
             on_synced=self._on_synced,
             on_failed=self._on_failed,
@@ -276,11 +276,11 @@
                     extra={'reason': str(exc)},
                 )
                 continue
-            await self._disk.stop()
+            await self._journal_writer.stop()
             self.folder = folder
             self.failure = ''
-            self._disk = self._make_disk()
-            self._disk.start()
+            self._journal_writer = self._make_journal_writer()
+            self._journal_writer.start()
             self._make_groups()
             LOG.warning(
                 'the disk works again',
@@ -310,7 +310,7 @@
             )
 
     def _put(self, item: journal_module.GroupWrites) -> None:
-        self._disk.put(item)
+        self._journal_writer.put(item)
 
     def _make_state(self) -> control_state.ControlState:
         return control_state.ControlState(
@@ -321,7 +321,7 @@
         link = peer_link.PeerLink(
             url=url,
             http=self._http,
-            hello=self._hello,
+            make_hello=self._make_hello,
             reports=self.reports,
             hello_s=self.settings.heartbeat_s * HELLO_HEARTBEATS,
             timeout_s=self.settings.election_s * 0.4,
@@ -329,13 +329,13 @@
         self._links[url] = link
         link.start()
 
-    def _hello(self) -> peer_batch.PeerBatch:
+    def _make_hello(self) -> peer_batch.PeerBatch:
         return peer_batch.PeerBatch(
             host_id=self.settings.host_id,
             replica_id=self.folder.replica_id,
             url=self.url,
             blank=self._is_pristine(),
-            founding=self.folder.founding,
+            founding=self.folder.bootstrap_replicas,
             replacements=self.replacements.bodies(self.now_s),
             urls=self.urls if self.settings.seeds else [],
         )
@@ -367,7 +367,7 @@
                 return False
         return True
 
-    def _found_if_all_blank(self) -> None:
+    def _bootstrap_if_all_blank(self) -> None:
         """Found the groups once every host is here with an empty disk.
 
         Only all hosts together may do so: two that came back empty
@@ -378,18 +378,21 @@
         if not self.settings.may_found or not self._is_pristine():
             return
         replicas = {self.settings.host_id: self.folder.replica_id}
-        for host_id, heard in self._heard.items():
-            if not heard.blank or self.now_s - heard.heard_s > HEARD_S:
+        for host_id, seen in self._seen_hosts.items():
+            if (
+                not seen.blank
+                or self.now_s - seen.last_seen_s > SEEN_HOST_TTL_S
+            ):
                 return
-            replicas[host_id] = heard.replica_id
+            replicas[host_id] = seen.replica_id
         if len(replicas) != len(self.settings.peer_urls) + 1:
             return
         if min(replicas) == self.settings.host_id:
-            self._found(replicas)
+            self._bootstrap(replicas)
 
-    def _found(self, replicas: dict[str, str]) -> None:
+    def _bootstrap(self, replicas: dict[str, str]) -> None:
         try:
-            self.folder.found(replicas)
+            self.folder.bootstrap(replicas)
         except OSError as exc:
             LOG.error('cannot write the founding: %s', exc)
             self._on_failed(f'disk: {exc}')
@@ -407,18 +410,18 @@
                 group.feed(events.RemoveMember(replica_id=former.replica_id))
                 return
         if self.settings.seeds:
-            self._turn_over(group)
+            self._reconcile_members(group)
             return
         wanted = self._wanted_voters()
-        for host_id, heard in self._heard.items():
-            if self.now_s - heard.heard_s > HEARD_S:
+        for host_id, seen in self._seen_hosts.items():
+            if self.now_s - seen.last_seen_s > SEEN_HOST_TTL_S:
                 continue
             if host_id in self.replacements:
                 continue
             change = replacement.next_change(
                 replica.membership,
                 host_id=host_id,
-                replica_id=heard.replica_id,
+                replica_id=seen.replica_id,
             )
             if change is None:
                 continue
@@ -454,12 +457,12 @@
             return 2 * tolerated + 1
         return len(self.settings.peer_urls) + 1
 
-    def _turn_over(self, group: group_module.Group) -> None:
+    def _reconcile_members(self, group: group_module.Group) -> None:
         now_s = self.now_s
         present = {self.settings.host_id: self.folder.replica_id}
-        for host_id, heard in self._heard.items():
-            if now_s - heard.heard_s <= HEARD_S:
-                present[host_id] = heard.replica_id
+        for host_id, seen in self._seen_hosts.items():
+            if now_s - seen.last_seen_s <= SEEN_HOST_TTL_S:
+                present[host_id] = seen.replica_id
         change = self._turnover.next_change(
             replica=group.replica,
             present=present,
@@ -477,7 +480,7 @@
         forget_due_s = self.now_s + FORGET_EVERY_S
         while True:
             await asyncio.sleep(period_s)
-            self._found_if_all_blank()
+            self._bootstrap_if_all_blank()
             for group in self.groups:
                 group.feed(events.Tick())
                 self._bring_replicas_in(group)
