--- a/limpetroute/border/forwarder_settings.py
+++ b/limpetroute/border/forwarder_settings.py
@@ -10,8 +10,8 @@
 from limpetroute.border import units
 
 
-class SendBudgetSettings(strict_model.StrictModel):
-    """Second sends to one service, over all hosts; see `SendBudget`."""
+class RetryBudgetSettings(strict_model.StrictModel):
+    """Second sends to one service, over all hosts; see `RetryBudget`."""
 
     ratio: float = pydantic.Field(default=0.2, ge=0)
     slack: float = pydantic.Field(default=10.0, ge=0)
@@ -31,7 +31,7 @@
         Port at which control hosts hear the others.
     grace_s : float
         Time from SIGTERM until the process is killed.
-    send_budget : SendBudgetSettings
+    send_budget : RetryBudgetSettings
         Bound of second sends.
     """
 
@@ -43,4 +43,4 @@
     seeds: list[addresses.HostPort]
     control_port: units.Port
     grace_s: units.Seconds = 8.0
-    send_budget: SendBudgetSettings = SendBudgetSettings()
+    send_budget: RetryBudgetSettings = RetryBudgetSettings()
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -19,9 +19,9 @@
 from limpetroute.forwarding import scheduler_client
 from limpetroute.routing import last_streams
 from limpetroute.routing import next_step
+from limpetroute.routing import retry_budget
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
-from limpetroute.routing import send_budget
 from limpetroute.routing import send_result
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
@@ -71,7 +71,7 @@
         dialect: dialect_module.Dialect,
         meters: forward_meters.ForwardMeters,
         zone: str,
-        make_budget: typing.Callable[[], send_budget.SendBudget],
+        make_budget: typing.Callable[[], retry_budget.RetryBudget],
         rng: random.Random,
     ) -> None:
         self.view = view
@@ -89,7 +89,7 @@
         self._watch = watch
         self._make_budget = make_budget
         self._aside: set[asyncio.Task[None]] = set()
-        self._budgets: dict[str, send_budget.SendBudget] = {}
+        self._budgets: dict[str, retry_budget.RetryBudget] = {}
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(view={self.view!r})'
@@ -285,7 +285,7 @@
             )
         return known
 
-    def _budget(self, service: str) -> send_budget.SendBudget:
+    def _budget(self, service: str) -> retry_budget.RetryBudget:
         known = self._budgets.get(service)
         if known is None:
             known = self._budgets[service] = self._make_budget()
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -18,8 +18,8 @@
 from limpetroute.forwarding import quarantine_client
 from limpetroute.forwarding import scheduler_client
 from limpetroute.forwarding import side_port
+from limpetroute.routing import retry_budget
 from limpetroute.routing import route_plan
-from limpetroute.routing import send_budget
 from limpetroute.telemetry import exports as exports_module
 from limpetroute.wire import caller
 
@@ -188,8 +188,8 @@
             for host in hosts
         ]
 
-    def _make_budget(self) -> send_budget.SendBudget:
+    def _make_budget(self) -> retry_budget.RetryBudget:
         budget = self.settings.send_budget
-        return send_budget.SendBudget(
+        return retry_budget.RetryBudget(
             ratio=budget.ratio, slack=budget.slack, window_s=budget.window_s
         )
--- a/limpetroute/routing/send_budget.py
+++ b/limpetroute/routing/retry_budget.py
@@ -3,7 +3,7 @@
 import collections
 
 
-class SendBudget:
+class RetryBudget:
     """How many second sends a host may make to one service.
 
     When runners fail, each request that is sent twice adds load to those
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -16,9 +16,9 @@
 from limpetroute.forwarding import quarantine_client
 from limpetroute.forwarding import scheduler_client
 from limpetroute.platform import http_dialect
+from limpetroute.routing import retry_budget
 from limpetroute.routing import route
 from limpetroute.routing import route_kind
-from limpetroute.routing import send_budget
 from limpetroute.wire import caller
 from tests.forwarding import scripted_runner
 from tests.routing import builders
@@ -56,7 +56,7 @@
                 meter=metrics.NoOpMeter('test')
             ),
             zone='a',
-            make_budget=lambda: send_budget.SendBudget(
+            make_budget=lambda: retry_budget.RetryBudget(
                 ratio=1.0, slack=20, window_s=10.0
             ),
             rng=random.Random(1),
--- a/tests/routing/test_send_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -7,7 +7,7 @@
 
 import random
 
-from limpetroute.routing import send_budget
+from limpetroute.routing import retry_budget
 
 RATIO = 0.2
 SLACK = 54
@@ -17,7 +17,7 @@
 
 def _fleet():
     return [
-        send_budget.SendBudget(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
+        retry_budget.RetryBudget(ratio=RATIO, slack=SLACK, window_s=WINDOW_S)
         for _ in range(HOSTS)
     ]
 
@@ -42,7 +42,7 @@
 
 
 def test_a_host_that_takes_itself_for_alone_keeps_a_reserve():
-    budget = send_budget.SendBudget(
+    budget = retry_budget.RetryBudget(
         ratio=RATIO, slack=SLACK, window_s=WINDOW_S
     )
     taken = sum(budget.take(0.0, 1) for _ in range(200))
@@ -50,6 +50,6 @@
 
 
 def test_the_budget_comes_back_with_time():
-    budget = send_budget.SendBudget(ratio=0, slack=4, window_s=1.0)
+    budget = retry_budget.RetryBudget(ratio=0, slack=4, window_s=1.0)
     assert [budget.take(0.0, 1) for _ in range(3)] == [True, True, False]
     assert budget.take(1.1, 1)
