--- a/limpetroute/control/desk.py
+++ b/limpetroute/control/desk.py
@@ -10,7 +10,7 @@
 from limpetroute.control import results
 from limpetroute.control import routes_store
 from limpetroute.control import verdicts
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
@@ -56,7 +56,7 @@
         node: node_module.Node,
         http: caller.Caller,
         read_services: typing.Callable[
-            [typing.Sequence[routes_parts.Part]], frozenset[str]
+            [typing.Sequence[config_fragments.ConfigFragment]], frozenset[str]
         ],
     ) -> None:
         self._node = node
--- a/limpetroute/control/recent_routes.py
+++ b/limpetroute/control/recent_routes.py
@@ -5,8 +5,8 @@
 
 from limpetroute.border import routes_update_body
 from limpetroute.control import routes_store
+from limpetroute.routing import config_fragments
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 
 MAX_VERSIONS = 32
 MAX_BYTES = 16 << 20
@@ -110,7 +110,7 @@
     def take_parts(
         self,
         routes: routes_store.RoutesInForce,
-        parts: tuple[routes_parts.Part, ...],
+        parts: tuple[config_fragments.ConfigFragment, ...],
     ) -> None:
         """Take the parts of a version, unless it is gone."""
         if self._texts.get(routes.digest) is not routes:
@@ -126,7 +126,7 @@
             return None
         known = self._copies.get(digest)
         if known is None:
-            self.take_parts(routes, routes_parts.split(routes.text))
+            self.take_parts(routes, config_fragments.split(routes.text))
             known = self._copies[digest]
         return known
 
--- a/limpetroute/control/routes_cutter.py
+++ b/limpetroute/control/routes_cutter.py
@@ -5,7 +5,7 @@
 from limpetroute.control import control_state
 from limpetroute.control import recent_routes
 from limpetroute.control import routes_store
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 
 
 class RoutesCutter:
@@ -40,7 +40,9 @@
         routes: routes_store.RoutesInForce,
     ) -> None:
         try:
-            parts = await asyncio.to_thread(routes_parts.split, routes.text)
+            parts = await asyncio.to_thread(
+                config_fragments.split, routes.text
+            )
             recent.take_parts(routes, parts)
         finally:
             del self._running[routes.digest]
--- a/limpetroute/dispatch/order_dialect.py
+++ b/limpetroute/dispatch/order_dialect.py
@@ -3,7 +3,7 @@
 import typing
 
 from limpetroute.decisions import stage as stage_module
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 from limpetroute.routing import service
 from limpetroute.wire import small_call
 
@@ -12,7 +12,7 @@
     """How orders to runners are written, and configurations read."""
 
     def read_services(
-        self, parts: typing.Sequence[routes_parts.Part]
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
     ) -> tuple[service.Service, ...]:
         """Decode the services of a routing configuration."""
 
--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -6,8 +6,8 @@
 from tornado import httputil
 
 from limpetroute.forwarding import caller_request
+from limpetroute.routing import config_fragments
 from limpetroute.routing import route_plan
-from limpetroute.routing import routes_parts
 from limpetroute.wire import small_call
 
 
@@ -105,10 +105,12 @@
     def free_handle(self, handle: str, runner_id: str) -> small_call.SmallCall:
         """Return the call that frees a prefill's result."""
 
-    def prepare_plan(self, parts: typing.Iterable[routes_parts.Part]) -> None:
+    def prepare_plan(
+        self, parts: typing.Iterable[config_fragments.ConfigFragment]
+    ) -> None:
         """Decode parts ahead, so that `read_plan` of them is short."""
 
     def read_plan(
-        self, parts: typing.Sequence[routes_parts.Part]
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
     ) -> route_plan.RoutePlan:
         """Decode a routing configuration."""
--- a/limpetroute/forwarding/fleet_view.py
+++ b/limpetroute/forwarding/fleet_view.py
@@ -5,9 +5,9 @@
 import typing
 
 from limpetroute.forwarding import dialect as dialect_module
+from limpetroute.routing import config_fragments
 from limpetroute.routing import route_plan
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_load
 
@@ -75,7 +75,9 @@
             self._by_service.setdefault(one.service, []).append(one)
         return True
 
-    def prepare(self, parts: typing.Sequence[routes_parts.Part]) -> None:
+    def prepare(
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
+    ) -> None:
         """Decode parts of routes that will be in force."""
         self._dialect.prepare_plan(parts)
 
--- a/limpetroute/platform/control_port.py
+++ b/limpetroute/platform/control_port.py
@@ -15,7 +15,7 @@
 from limpetroute.platform import heartbeat_codec
 from limpetroute.platform import routes_codec
 from limpetroute.platform import routes_reader
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 from limpetroute.wire import caller
 
 LOG = logging.getLogger(__name__)
@@ -160,7 +160,7 @@
 
 
 def _services(
-    parts: typing.Sequence[routes_parts.Part],
+    parts: typing.Sequence[config_fragments.ConfigFragment],
 ) -> frozenset[str]:
     """Return the services that a configuration names."""
     return frozenset(one.name for one in routes_reader.read_services(parts))
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -9,8 +9,8 @@
 from limpetroute.forwarding import dialect
 from limpetroute.platform import header_names
 from limpetroute.platform import routes_reader
+from limpetroute.routing import config_fragments
 from limpetroute.routing import route_plan
-from limpetroute.routing import routes_parts
 from limpetroute.wire import small_call
 
 MILLIS = 1000.0
@@ -127,12 +127,14 @@
             headers={header_names.EXPECT_INSTANCE: runner_id},
         )
 
-    def prepare_plan(self, parts: typing.Iterable[routes_parts.Part]) -> None:
+    def prepare_plan(
+        self, parts: typing.Iterable[config_fragments.ConfigFragment]
+    ) -> None:
         """Decode parts ahead of the `read_plan` of all of them."""
         self._reader.prepare(parts)
 
     def read_plan(
-        self, parts: typing.Sequence[routes_parts.Part]
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
     ) -> route_plan.RoutePlan:
         """Decode a routing configuration."""
         return self._reader.read(parts)
--- a/limpetroute/platform/orders.py
+++ b/limpetroute/platform/orders.py
@@ -6,7 +6,7 @@
 from limpetroute.decisions import stage as stage_module
 from limpetroute.platform import header_names
 from limpetroute.platform import routes_reader
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 from limpetroute.routing import service
 from limpetroute.wire import small_call
 
@@ -18,7 +18,7 @@
         return f'{type(self).__name__}()'
 
     def read_services(
-        self, parts: typing.Sequence[routes_parts.Part]
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
     ) -> tuple[service.Service, ...]:
         """Decode the services of a routing configuration."""
         return routes_reader.read_services(parts)
--- a/limpetroute/platform/routes_reader.py
+++ b/limpetroute/platform/routes_reader.py
@@ -6,9 +6,9 @@
 
 from limpetroute.platform import routes_body
 from limpetroute.platform import routes_codec
+from limpetroute.routing import config_fragments
 from limpetroute.routing import route as route_module
 from limpetroute.routing import route_plan
-from limpetroute.routing import routes_parts
 from limpetroute.routing import service as service_module
 
 _ROUTES = 'routes'
@@ -23,12 +23,16 @@
     """
 
     def __init__(self) -> None:
-        self._routes: dict[routes_parts.Part, route_module.Route] = {}
+        self._routes: dict[
+            config_fragments.ConfigFragment, route_module.Route
+        ] = {}
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(routes={len(self._routes)!r})'
 
-    def prepare(self, parts: typing.Iterable[routes_parts.Part]) -> None:
+    def prepare(
+        self, parts: typing.Iterable[config_fragments.ConfigFragment]
+    ) -> None:
         """Decode parts ahead of the `read` of a document with them."""
         known = self._routes
         for part in parts:
@@ -36,7 +40,7 @@
                 known[part] = _route(part)
 
     def read(
-        self, parts: typing.Sequence[routes_parts.Part]
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
     ) -> route_plan.RoutePlan:
         """Return the plan of a document that control hosts have checked.
 
@@ -64,14 +68,14 @@
 
 
 def read_services(
-    parts: typing.Sequence[routes_parts.Part],
+    parts: typing.Sequence[config_fragments.ConfigFragment],
 ) -> tuple[service_module.Service, ...]:
     """Return only the services of a document."""
     return _services(_frame(parts), parts)
 
 
 def _frame(
-    parts: typing.Iterable[routes_parts.Part],
+    parts: typing.Iterable[config_fragments.ConfigFragment],
 ) -> routes_body.RoutesBody:
     """Return the document without its routes and services."""
     text = ''.join(
@@ -82,7 +86,7 @@
 
 def _services(
     frame: routes_body.RoutesBody,
-    parts: typing.Iterable[routes_parts.Part],
+    parts: typing.Iterable[config_fragments.ConfigFragment],
 ) -> tuple[service_module.Service, ...]:
     bodies = list(frame.services)
     for part in parts:
@@ -91,7 +95,7 @@
     return tuple(routes_codec.service(one) for one in bodies)
 
 
-def _route(part: routes_parts.Part) -> route_module.Route:
+def _route(part: config_fragments.ConfigFragment) -> route_module.Route:
     return routes_codec.route(_checked(routes_body.RouteBody, part.element))
 
 
--- a/limpetroute/routing/routes_parts.py
+++ b/limpetroute/routing/config_fragments.py
@@ -8,7 +8,7 @@
 _DECODER = json.JSONDecoder()
 
 
-class Part(typing.NamedTuple):
+class ConfigFragment(typing.NamedTuple):
     """A piece of a document.
 
     Parameters
@@ -29,7 +29,7 @@
         return self.text.strip().removesuffix(',').rstrip()
 
 
-def split(text: str) -> tuple[Part, ...]:
+def split(text: str) -> tuple[ConfigFragment, ...]:
     """Cut a document; the parts' texts, joined, are the document.
 
     Each element of a top-level array is a part of its own. A document
@@ -39,7 +39,7 @@
     try:
         parts = tuple(_Splitter(text).run())
     except (ValueError, RecursionError):
-        return (Part('', text),)
+        return (ConfigFragment('', text),)
     return parts
 
 
@@ -48,10 +48,10 @@
         self._text = text
         self._at = 0
         self._cut = 0
-        self._parts: list[Part] = []
+        self._parts: list[ConfigFragment] = []
         self._keys: set[str] = set()
 
-    def run(self) -> list[Part]:
+    def run(self) -> list[ConfigFragment]:
         self._take('{')
         if self._peek() != '}':
             self._member()
@@ -91,7 +91,7 @@
         self._at += 1
 
     def _cut_off(self, array: str, end: int) -> None:
-        self._parts.append(Part(array, self._text[self._cut : end]))
+        self._parts.append(ConfigFragment(array, self._text[self._cut : end]))
         self._cut = end
 
     def _take(self, sign: str) -> None:
--- a/limpetroute/routing/routes_copy.py
+++ b/limpetroute/routing/routes_copy.py
@@ -4,7 +4,7 @@
 import hashlib
 import typing
 
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 
 
 class BaseNotHeldError(ValueError):
@@ -53,10 +53,10 @@
     steps: tuple[Kept | Added, ...]
 
     @property
-    def added(self) -> list[routes_parts.Part]:
+    def added(self) -> list[config_fragments.ConfigFragment]:
         """The parts that the base lacks."""
         return [
-            routes_parts.Part(step.array, text)
+            config_fragments.ConfigFragment(step.array, text)
             for step in self.steps
             if isinstance(step, Added)
             for text in step.texts
@@ -73,13 +73,13 @@
         Its number; 0 for none.
     digest : str
         SHA-256 of the document; empty for none.
-    parts : tuple of Part
+    parts : tuple of ConfigFragment
         The document.
     """
 
     version: int = 0
     digest: str = ''
-    parts: tuple[routes_parts.Part, ...] = ()
+    parts: tuple[config_fragments.ConfigFragment, ...] = ()
 
     def __repr__(self) -> str:
         return (
@@ -111,13 +111,13 @@
 
     def _moved_on(
         self, steps: typing.Iterable[Kept | Added]
-    ) -> typing.Iterator[routes_parts.Part]:
+    ) -> typing.Iterator[config_fragments.ConfigFragment]:
         for step in steps:
             if isinstance(step, Kept):
                 yield from self.parts[step.first : step.first + step.count]
                 continue
             for text in step.texts:
-                yield routes_parts.Part(step.array, text)
+                yield config_fragments.ConfigFragment(step.array, text)
 
 
 def update_between(base: RoutesCopy, newer: RoutesCopy) -> RoutesUpdate:
--- a/tests/forwarding/test_routes_loader.py
+++ b/tests/forwarding/test_routes_loader.py
@@ -9,8 +9,8 @@
 from limpetroute.forwarding import fleet_view
 from limpetroute.forwarding import routes_loader
 from limpetroute.platform import http_dialect
+from limpetroute.routing import config_fragments
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 from limpetroute.wire import reply
 from tests.forwarding import large_routes
 
@@ -21,7 +21,7 @@
     return routes_copy.RoutesCopy(
         version=version,
         digest=large_routes.digest(text),
-        parts=routes_parts.split(text),
+        parts=config_fragments.split(text),
     )
 
 
--- a/tests/platform/test_routes_reader.py
+++ b/tests/platform/test_routes_reader.py
@@ -8,7 +8,7 @@
 
 from limpetroute.platform import routes_codec
 from limpetroute.platform import routes_reader
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 from tests.platform import test_routes_codec
 
 ROUTE = test_routes_codec.make_body()['routes'][0]
@@ -38,7 +38,7 @@
     reader = routes_reader.RoutesReader()
     for version, rows in enumerate(changes, start=1):
         text = json.dumps(document(version, rows), indent=indent)
-        parts = routes_parts.split(text)
+        parts = config_fragments.split(text)
         if ahead:
             reader.prepare(parts[:2])
         assert reader.read(parts) == routes_codec.decode(text)
@@ -50,7 +50,7 @@
 
 def test_a_text_that_is_one_part_is_read_too():
     text = json.dumps(document(3, [(1, 900)]))
-    parts = (routes_parts.Part('', text),)
+    parts = (config_fragments.ConfigFragment('', text),)
     plan = routes_reader.RoutesReader().read(parts)
     assert plan == routes_codec.decode(text)
     assert routes_reader.read_services(parts) == plan.services
@@ -61,5 +61,5 @@
     del broken['routes'][0]['kind']
     with pytest.raises(routes_codec.InvalidRoutesError):
         routes_reader.RoutesReader().read(
-            routes_parts.split(json.dumps(broken))
+            config_fragments.split(json.dumps(broken))
         )
--- a/tests/routing/test_routes_parts.py
+++ b/tests/routing/test_config_fragments.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 import pytest
 
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=8),
@@ -24,7 +24,7 @@
 )
 def test_the_parts_are_the_document(document, indent, ascii_):
     text = json.dumps(document, indent=indent, ensure_ascii=ascii_)
-    parts = routes_parts.split(text)
+    parts = config_fragments.split(text)
     assert ''.join(part.text for part in parts) == text
     elements = {}
     for part in parts:
@@ -38,11 +38,11 @@
 
 @hypothesis.given(text=st.text(alphabet='{}[],:"a \\1', max_size=20))
 def test_any_text_can_be_cut(text):
-    assert ''.join(part.text for part in routes_parts.split(text)) == text
+    assert ''.join(part.text for part in config_fragments.split(text)) == text
 
 
 def test_an_element_is_a_part():
-    parts = routes_parts.split('{"v":1,"a":[{"x":[1,2]}, "b"],"c":{}}')
+    parts = config_fragments.split('{"v":1,"a":[{"x":[1,2]}, "b"],"c":{}}')
     assert parts == (
         ('', '{"v":1,"a":['),
         ('a', '{"x":[1,2]}, '),
@@ -66,4 +66,4 @@
     ],
 )
 def test_what_is_no_plain_object_is_one_part(text):
-    assert routes_parts.split(text) == (('', text),)
+    assert config_fragments.split(text) == (('', text),)
--- a/tests/routing/test_routes_copy.py
+++ b/tests/routing/test_routes_copy.py
@@ -6,14 +6,16 @@
 from hypothesis import strategies as st
 import pytest
 
+from limpetroute.routing import config_fragments
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 
 TEXTS = st.lists(st.sampled_from('abcdefgh'), max_size=12)
 
 
 def copy(version, texts, array='r'):
-    parts = tuple(routes_parts.Part(array, text) for text in texts)
+    parts = tuple(
+        config_fragments.ConfigFragment(array, text) for text in texts
+    )
     text = ''.join(texts)
     digest = hashlib.sha256(text.encode()).hexdigest()
     return routes_copy.RoutesCopy(version=version, digest=digest, parts=parts)
