--- a/limpetroute/border/routes_update_body.py
+++ b/limpetroute/border/routes_update_body.py
@@ -6,15 +6,15 @@
 from limpetroute.routing import routes_copy
 
 
-class KeptBody(strict_model.StrictModel):
-    """See `routes_copy.Kept`."""
+class BaseRangeBody(strict_model.StrictModel):
+    """See `routes_copy.BaseRange`."""
 
     first: int = pydantic.Field(ge=0)
     count: int = pydantic.Field(gt=0)
 
 
-class AddedBody(strict_model.StrictModel):
-    """See `routes_copy.Added`."""
+class NewFragmentsBody(strict_model.StrictModel):
+    """See `routes_copy.NewFragments`."""
 
     array: str
     texts: list[str]
@@ -26,7 +26,7 @@
     version: int
     digest: str
     base: str
-    steps: list[KeptBody | AddedBody]
+    steps: list[BaseRangeBody | NewFragmentsBody]
 
     def to_update(self) -> routes_copy.RoutesUpdate:
         """Return the update."""
@@ -61,12 +61,14 @@
 
 def encode(update: routes_copy.RoutesUpdate) -> str:
     """Return an update's JSON text."""
-    steps: list[KeptBody | AddedBody] = []
+    steps: list[BaseRangeBody | NewFragmentsBody] = []
     for step in update.steps:
-        if isinstance(step, routes_copy.Kept):
-            steps.append(KeptBody(first=step.first, count=step.count))
+        if isinstance(step, routes_copy.BaseRange):
+            steps.append(BaseRangeBody(first=step.first, count=step.count))
             continue
-        steps.append(AddedBody(array=step.array, texts=list(step.texts)))
+        steps.append(
+            NewFragmentsBody(array=step.array, texts=list(step.texts))
+        )
     return RoutesUpdateBody(
         version=update.version,
         digest=update.digest,
@@ -76,8 +78,8 @@
 
 
 def _step(
-    body: KeptBody | AddedBody,
-) -> routes_copy.Kept | routes_copy.Added:
-    if isinstance(body, KeptBody):
-        return routes_copy.Kept(first=body.first, count=body.count)
-    return routes_copy.Added(array=body.array, texts=tuple(body.texts))
+    body: BaseRangeBody | NewFragmentsBody,
+) -> routes_copy.BaseRange | routes_copy.NewFragments:
+    if isinstance(body, BaseRangeBody):
+        return routes_copy.BaseRange(first=body.first, count=body.count)
+    return routes_copy.NewFragments(array=body.array, texts=tuple(body.texts))
--- a/limpetroute/routing/routes_copy.py
+++ b/limpetroute/routing/routes_copy.py
@@ -7,7 +7,7 @@
 from limpetroute.routing import config_fragments
 
 
-class BaseNotHeldError(ValueError):
+class BaseMismatchError(ValueError):
     """An update starts from another version than the one held."""
 
 
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Kept:
+class BaseRange:
     """A run of parts that the base has already."""
 
     first: int
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Added:
+class NewFragments:
     """Parts that the base lacks; all of one array."""
 
     array: str
@@ -43,14 +43,14 @@
         SHA-256 of that version's document.
     base : str
         Digest of the document that it starts from; empty for none.
-    steps : tuple of Kept or Added
+    steps : tuple of BaseRange or NewFragments
         The parts of the new document, in order.
     """
 
     version: int
     digest: str
     base: str
-    steps: tuple[Kept | Added, ...]
+    steps: tuple[BaseRange | NewFragments, ...]
 
     @property
     def added(self) -> list[config_fragments.ConfigFragment]:
@@ -58,7 +58,7 @@
         return [
             config_fragments.ConfigFragment(step.array, text)
             for step in self.steps
-            if isinstance(step, Added)
+            if isinstance(step, NewFragments)
             for text in step.texts
         ]
 
@@ -92,13 +92,13 @@
 
         Raises
         ------
-        BaseNotHeldError
+        BaseMismatchError
             If it starts from another document.
         DigestMismatchError
             If it does not lead to the document that was acknowledged.
         """
         if update.base and update.base != self.digest:
-            raise BaseNotHeldError(f'starts from {update.base[:12]!r}')
+            raise BaseMismatchError(f'starts from {update.base[:12]!r}')
         parts = tuple(self._moved_on(update.steps))
         text = ''.join([part.text for part in parts])
         if hashlib.sha256(text.encode()).hexdigest() != update.digest:
@@ -110,10 +110,10 @@
         )
 
     def _moved_on(
-        self, steps: typing.Iterable[Kept | Added]
+        self, steps: typing.Iterable[BaseRange | NewFragments]
     ) -> typing.Iterator[config_fragments.ConfigFragment]:
         for step in steps:
-            if isinstance(step, Kept):
+            if isinstance(step, BaseRange):
                 yield from self.parts[step.first : step.first + step.count]
                 continue
             for text in step.texts:
@@ -127,17 +127,17 @@
     they stand there, are named by their places.
     """
     places = {part: place for place, part in enumerate(base.parts)}
-    steps: list[Kept | Added] = []
+    steps: list[BaseRange | NewFragments] = []
     first = count = 0
     array = ''
     texts: list[str] = []
     for part in newer.parts:
         place = places.get(part)
         if texts and (place is not None or part.array != array):
-            steps.append(Added(array=array, texts=tuple(texts)))
+            steps.append(NewFragments(array=array, texts=tuple(texts)))
             texts = []
         if count and place != first + count:
-            steps.append(Kept(first=first, count=count))
+            steps.append(BaseRange(first=first, count=count))
             count = 0
         if place is None:
             array = part.array
@@ -147,9 +147,9 @@
             first = place
         count += 1
     if texts:
-        steps.append(Added(array=array, texts=tuple(texts)))
+        steps.append(NewFragments(array=array, texts=tuple(texts)))
     if count:
-        steps.append(Kept(first=first, count=count))
+        steps.append(BaseRange(first=first, count=count))
     return RoutesUpdate(
         version=newer.version,
         digest=newer.digest,
--- a/tests/forwarding/test_routes_loader.py
+++ b/tests/forwarding/test_routes_loader.py
@@ -80,7 +80,7 @@
             version=2,
             digest=newest.digest,
             base='',
-            steps=(routes_copy.Added(array='', texts=('{}',)),),
+            steps=(routes_copy.NewFragments(array='', texts=('{}',)),),
         )
         view, loader = make(ControlHost(newest))
         loader.hear(notice(newest, wrong))
--- a/tests/routing/test_routes_copy.py
+++ b/tests/routing/test_routes_copy.py
@@ -42,15 +42,15 @@
     newer = [*many[:500], 'new', *many[500:]]
     update = routes_copy.update_between(copy(1, many), copy(2, newer))
     assert update.steps == (
-        routes_copy.Kept(first=0, count=500),
-        routes_copy.Added(array='r', texts=('new',)),
-        routes_copy.Kept(first=500, count=9500),
+        routes_copy.BaseRange(first=0, count=500),
+        routes_copy.NewFragments(array='r', texts=('new',)),
+        routes_copy.BaseRange(first=500, count=9500),
     )
 
 
 def test_an_update_of_another_base_is_refused():
     update = routes_copy.update_between(copy(1, 'ab'), copy(2, 'abc'))
-    with pytest.raises(routes_copy.BaseNotHeldError):
+    with pytest.raises(routes_copy.BaseMismatchError):
         copy(1, 'xy').apply(update)
 
 
@@ -60,7 +60,7 @@
         version=2,
         digest=copy(2, 'abc').digest,
         base='',
-        steps=(routes_copy.Added(array='r', texts=('a', 'b')),),
+        steps=(routes_copy.NewFragments(array='r', texts=('a', 'b')),),
     )
     with pytest.raises(routes_copy.DigestMismatchError):
         routes_copy.RoutesCopy().apply(update)
