--- a/limpetroute/border/limit_bodies.py
+++ b/limpetroute/border/limit_bodies.py
@@ -4,7 +4,7 @@
 
 from limpetroute.border import strict_model
 from limpetroute.routing import rate_limit
-from limpetroute.routing import runner_life
+from limpetroute.routing import runner_incarnation
 from limpetroute.routing import runner_limits
 
 
@@ -25,7 +25,7 @@
     def report(self, now_s: float) -> runner_limits.Report:
         """Return what it says."""
         return runner_limits.Report(
-            life=runner_life.RunnerLife(
+            incarnation=runner_incarnation.RunnerIncarnation(
                 runner_id=self.runner_id, started_ms=self.started_ms
             ),
             limit_per_s=self.limit_per_s,
--- a/limpetroute/control/control_state.py
+++ b/limpetroute/control/control_state.py
@@ -13,7 +13,7 @@
 from limpetroute.control import runner_table
 from limpetroute.routing import quarantine
 from limpetroute.routing import routes_copy
-from limpetroute.routing import runner_life
+from limpetroute.routing import runner_incarnation
 
 MAX_FENCES = 100_000
 
@@ -166,7 +166,7 @@
         before = self.quarantine.requests
         for runner_id, started_ms, suspects in command.crashes:
             self.quarantine.note_crash(
-                runner_life.RunnerLife(
+                runner_incarnation.RunnerIncarnation(
                     runner_id=runner_id, started_ms=started_ms
                 ),
                 [
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -159,7 +159,7 @@
         """
         self._note_term()
         now_s = boot_clock.now_s()
-        runner_id = report.life.runner_id
+        runner_id = report.incarnation.runner_id
         self._limits.note(report, now_s)
         if not takes:
             return None
--- a/limpetroute/forwarding/limit_client.py
+++ b/limpetroute/forwarding/limit_client.py
@@ -7,8 +7,8 @@
 
 from limpetroute.forwarding import fleet_view
 from limpetroute.routing import rate_limit
+from limpetroute.routing import runner_incarnation
 from limpetroute.routing import runner_info
-from limpetroute.routing import runner_life
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
@@ -66,8 +66,12 @@
         self._entry_hosts = entry_hosts
         self._leader_url = ''
         self._unreachable_until_s = 0.0
-        self._known: dict[runner_life.RunnerLife, _KnownLimit] = {}
-        self._own: dict[runner_life.RunnerLife, rate_limit.TokenBucket] = {}
+        self._known: dict[
+            runner_incarnation.RunnerIncarnation, _KnownLimit
+        ] = {}
+        self._own: dict[
+            runner_incarnation.RunnerIncarnation, rate_limit.TokenBucket
+        ] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
     def __repr__(self) -> str:
@@ -111,7 +115,7 @@
     ) -> None:
         """Take note of the limit, or of none, in a runner's answer."""
         load = self._view.load(runner.runner_id)
-        known = self._known.get(runner.life)
+        known = self._known.get(runner.incarnation)
         if limit_per_s is None and known is None:
             return
         if limit_per_s != load.limit_per_s:
@@ -131,12 +135,12 @@
         known = _KnownLimit(
             limit_per_s=limit_per_s, received_s=now_s, reported_s=reported_s
         )
-        self._known[runner.life] = known
+        self._known[runner.incarnation] = known
         if limit_per_s is None:
             load.limited_until_s = 0.0
-            self._own.pop(runner.life, None)
+            self._own.pop(runner.incarnation, None)
         if is_new or now_s - reported_s > REPORT_AGAIN_S:
-            self._report_soon(runner.life, known)
+            self._report_soon(runner.incarnation, known)
         self._forget_gone()
 
     async def take(self, runner: runner_info.RunnerInfo) -> bool:
@@ -147,15 +151,15 @@
         load = self._view.load(runner.runner_id)
         if load.limit_per_s is None:
             return True
-        known = self._known.get(runner.life)
+        known = self._known.get(runner.incarnation)
         if known is None:
             return True
         if load.is_limited(_now_s()):
             return False
-        got = await self._report(runner.life, known, takes=True)
+        got = await self._report(runner.incarnation, known, takes=True)
         if got is None:
             return self._take_own(runner, load.limit_per_s)
-        self._own.pop(runner.life, None)
+        self._own.pop(runner.incarnation, None)
         if got.allowed:
             return True
         load.limited_until_s = _now_s() + got.wait_s
@@ -173,10 +177,10 @@
         hosts = max(1, self._entry_hosts())
         rate_per_s = max(limit_per_s, rate_limit.LEAST_PER_S)
         rate_per_s *= LOCAL_PART / hosts
-        bucket = self._own.get(runner.life)
+        bucket = self._own.get(runner.incarnation)
         if bucket is None:
             bucket = rate_limit.TokenBucket(rate_per_s=rate_per_s, now_s=now_s)
-            self._own[runner.life] = bucket
+            self._own[runner.incarnation] = bucket
         bucket.change(rate_per_s, now_s)
         if bucket.has_token(now_s):
             bucket.take(now_s)
@@ -187,14 +191,18 @@
         return False
 
     def _report_soon(
-        self, life: runner_life.RunnerLife, known: _KnownLimit
+        self, life: runner_incarnation.RunnerIncarnation, known: _KnownLimit
     ) -> None:
         task = asyncio.create_task(self._report(life, known, takes=False))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _report(
-        self, life: runner_life.RunnerLife, known: _KnownLimit, *, takes: bool
+        self,
+        life: runner_incarnation.RunnerIncarnation,
+        known: _KnownLimit,
+        *,
+        takes: bool,
     ) -> _Answer | None:
         """Report a limit; return the leader's answer, None without one."""
         now_s = _now_s()
@@ -243,7 +251,7 @@
         """Forget runners that have left or started again."""
         for life in list(self._known):
             runner = self._view.runner(life.runner_id)
-            if runner is None or runner.life != life:
+            if runner is None or runner.incarnation != life:
                 self._known.pop(life)
                 self._own.pop(life, None)
 
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -9,8 +9,8 @@
 from limpetroute.control import control_client
 from limpetroute.forwarding import caller_request
 from limpetroute.routing import quarantine
+from limpetroute.routing import runner_incarnation
 from limpetroute.routing import runner_info
-from limpetroute.routing import runner_life
 from limpetroute.wire import caller
 
 LOG = logging.getLogger(__name__)
@@ -68,7 +68,7 @@
         self._fleet_wide: frozenset[str] = frozenset()
         self._waits_until_s: dict[str, float] = {}
         self._unreported: collections.OrderedDict[
-            runner_life.RunnerLife, dict[str, bool]
+            runner_incarnation.RunnerIncarnation, dict[str, bool]
         ] = collections.OrderedDict()
         self._unreported_clears: dict[str, None] = {}
         self._task: asyncio.Task[None] | None = None
@@ -114,7 +114,7 @@
         begun: bool,
     ) -> None:
         """Take note of a request under which a runner crashed."""
-        life = runner.life
+        life = runner.incarnation
         fingerprint = request.fingerprint
         suspect = quarantine.Suspect(fingerprint=fingerprint, begun=begun)
         self._own.note_crash(life, [suspect])
@@ -219,7 +219,7 @@
     async def _report_crashes(
         self,
         crashes: typing.Mapping[
-            runner_life.RunnerLife, typing.Mapping[str, bool]
+            runner_incarnation.RunnerIncarnation, typing.Mapping[str, bool]
         ],
     ) -> bool:
         rows = [
--- a/limpetroute/routing/quarantine.py
+++ b/limpetroute/routing/quarantine.py
@@ -5,7 +5,7 @@
 import enum
 import typing
 
-from limpetroute.routing import runner_life
+from limpetroute.routing import runner_incarnation
 
 # Crashes of runners after which a request is no longer sent.
 MAX_CRASHES = 3
@@ -66,7 +66,7 @@
 
     def __init__(self) -> None:
         self._crashes: collections.OrderedDict[
-            runner_life.RunnerLife, dict[str, bool]
+            runner_incarnation.RunnerIncarnation, dict[str, bool]
         ] = collections.OrderedDict()
         self._trials: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
@@ -100,11 +100,13 @@
         return self._trials.get(fingerprint, 0)
 
     def note_crash(
-        self, life: runner_life.RunnerLife, suspects: typing.Iterable[Suspect]
+        self,
+        incarnation: runner_incarnation.RunnerIncarnation,
+        suspects: typing.Iterable[Suspect],
     ) -> None:
         """Take a crash, or more of the requests that were there."""
-        known = self._crashes.setdefault(life, {})
-        self._crashes.move_to_end(life)
+        known = self._crashes.setdefault(incarnation, {})
+        self._crashes.move_to_end(incarnation)
         for one in suspects:
             if one.fingerprint not in known and len(known) >= KEPT_SUSPECTS:
                 break
@@ -120,12 +122,12 @@
         """
         self._trials.pop(fingerprint, None)
         others: set[str] = set()
-        for life, suspects in list(self._crashes.items()):
+        for incarnation, suspects in list(self._crashes.items()):
             if suspects.pop(fingerprint, None) is None:
                 continue
             others.update(suspects)
             if not suspects:
-                del self._crashes[life]
+                del self._crashes[incarnation]
         self._judge(others)
 
     def take_trial(self, fingerprint: str, taken: int) -> Trial:
@@ -150,18 +152,18 @@
     def dump(self) -> dict[str, typing.Any]:
         """Return the whole table as JSON types."""
         crashes = [
-            [life.runner_id, life.started_ms, suspects]
-            for life, suspects in self._crashes.items()
+            [incarnation.runner_id, incarnation.started_ms, suspects]
+            for incarnation, suspects in self._crashes.items()
         ]
         return {'crashes': crashes, 'trials': self._trials}
 
     def load(self, body: typing.Mapping[str, typing.Any]) -> None:
         """Take what `dump` returned, into an empty table."""
         for runner_id, started_ms, suspects in body['crashes']:
-            life = runner_life.RunnerLife(
+            incarnation = runner_incarnation.RunnerIncarnation(
                 runner_id=runner_id, started_ms=started_ms
             )
-            self._crashes[life] = suspects
+            self._crashes[incarnation] = suspects
         self._trials.update(body['trials'])
 
     def _judge(self, fingerprints: typing.Iterable[str]) -> None:
--- a/limpetroute/routing/runner_life.py
+++ b/limpetroute/routing/runner_incarnation.py
@@ -1,11 +1,11 @@
-"""One life of a runner."""
+"""One lifetime of a runner process."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class RunnerLife:
-    """One life of a runner, from a start to its end.
+class RunnerIncarnation:
+    """One lifetime of a runner process.
 
     Parameters
     ----------
--- a/limpetroute/routing/runner_info.py
+++ b/limpetroute/routing/runner_info.py
@@ -4,7 +4,7 @@
 import json
 
 from limpetroute.decisions import stage as stage_module
-from limpetroute.routing import runner_life
+from limpetroute.routing import runner_incarnation
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -42,9 +42,9 @@
     started_ms: int = 0
 
     @property
-    def life(self) -> runner_life.RunnerLife:
-        """The life that it is in now."""
-        return runner_life.RunnerLife(
+    def incarnation(self) -> runner_incarnation.RunnerIncarnation:
+        """The current incarnation of the runner."""
+        return runner_incarnation.RunnerIncarnation(
             runner_id=self.runner_id, started_ms=self.started_ms
         )
 
--- a/limpetroute/routing/runner_limits.py
+++ b/limpetroute/routing/runner_limits.py
@@ -5,7 +5,7 @@
 import typing
 
 from limpetroute.routing import rate_limit
-from limpetroute.routing import runner_life
+from limpetroute.routing import runner_incarnation
 
 # Runners that are kept; the one that told nothing for longest goes first.
 KEPT_RUNNERS = 4000
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    life : RunnerLife
+    incarnation : RunnerIncarnation
         The runner.
     limit_per_s : float or None
         Requests a second; None once it names no limit.
@@ -28,7 +28,7 @@
         When its answer came, by a steady clock.
     """
 
-    life: runner_life.RunnerLife
+    incarnation: runner_incarnation.RunnerIncarnation
     limit_per_s: float | None
     received_s: float
 
@@ -59,10 +59,12 @@
 
     def note(self, report: Report, now_s: float) -> None:
         """Take what a runner named, unless something newer is known."""
-        runner_id = report.life.runner_id
+        runner_id = report.incarnation.runner_id
         known = self._limited.get(runner_id)
-        if known is None or known.report.life != report.life:
-            if known is not None and _is_older(report.life, known.report.life):
+        if known is None or known.report.incarnation != report.incarnation:
+            if known is not None and _is_older(
+                report.incarnation, known.report.incarnation
+            ):
                 return
             known = _Limited(report=report, bucket=None)
             self._limited[runner_id] = known
@@ -130,6 +132,7 @@
 
 
 def _is_older(
-    one: runner_life.RunnerLife, other: runner_life.RunnerLife
+    one: runner_incarnation.RunnerIncarnation,
+    other: runner_incarnation.RunnerIncarnation,
 ) -> bool:
     return one.started_ms < other.started_ms
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -8,13 +8,15 @@
 import pytest
 
 from limpetroute.routing import quarantine
-from limpetroute.routing import runner_life
+from limpetroute.routing import runner_incarnation
 
 Trial = quarantine.Trial
 
 
 def _life(number):
-    return runner_life.RunnerLife(runner_id=f'r{number}', started_ms=number)
+    return runner_incarnation.RunnerIncarnation(
+        runner_id=f'r{number}', started_ms=number
+    )
 
 
 def _crash(table, number, *silent, begun=()):
@@ -45,9 +47,11 @@
 def test_another_start_of_a_runner_is_another_crash():
     table = quarantine.Quarantine()
     for started_ms in (1, 2, 3):
-        life = runner_life.RunnerLife(runner_id='r', started_ms=started_ms)
+        incarnation = runner_incarnation.RunnerIncarnation(
+            runner_id='r', started_ms=started_ms
+        )
         suspect = quarantine.Suspect(fingerprint='bad', begun=False)
-        table.note_crash(life, [suspect])
+        table.note_crash(incarnation, [suspect])
     assert 'bad' in table
 
 
--- a/tests/routing/test_runner_limits.py
+++ b/tests/routing/test_runner_limits.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from limpetroute.routing import runner_life
+from limpetroute.routing import runner_incarnation
 from limpetroute.routing import runner_limits
 from limpetroute.routing import stream_scheduler
 from tests.routing import builders
@@ -15,7 +15,9 @@
 
 def _report(limit_per_s, received_s=0.0, name='r', started_ms=1):
     return runner_limits.Report(
-        life=runner_life.RunnerLife(runner_id=name, started_ms=started_ms),
+        incarnation=runner_incarnation.RunnerIncarnation(
+            runner_id=name, started_ms=started_ms
+        ),
         limit_per_s=limit_per_s,
         received_s=received_s,
     )
