--- a/limpetroute/border/limit_bodies.py
+++ b/limpetroute/border/limit_bodies.py
@@ -22,9 +22,9 @@
     age_s: float = pydantic.Field(ge=0, allow_inf_nan=False)
     takes: bool
 
-    def report(self, now_s: float) -> runner_limits.Report:
+    def to_report(self, now_s: float) -> runner_limits.LimitReport:
         """Return what it says."""
-        return runner_limits.Report(
+        return runner_limits.LimitReport(
             incarnation=runner_incarnation.RunnerIncarnation(
                 runner_id=self.runner_id, started_ms=self.started_ms
             ),
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -146,7 +146,7 @@
             self._request_pass(service)
 
     def take_limited(
-        self, report: runner_limits.Report, *, takes: bool
+        self, report: runner_limits.LimitReport, *, takes: bool
     ) -> float | None:
         """Return when a host may send to a limited runner; None if now.
 
@@ -160,13 +160,13 @@
         self._note_term()
         now_s = boot_clock.now_s()
         runner_id = report.incarnation.runner_id
-        self._limits.note(report, now_s)
+        self._limits.note_limit(report, now_s)
         if not takes:
             return None
         if self._limits.has_token(runner_id, now_s):
             self._limits.take(runner_id, now_s)
             return None
-        return self._limits.turn_s(runner_id, now_s)
+        return self._limits.retry_wait_s(runner_id, now_s)
 
     def adopt(
         self, place: placement.Placement, ask: placement.PlacementRequest
--- a/limpetroute/dispatch/place_handlers.py
+++ b/limpetroute/dispatch/place_handlers.py
@@ -139,6 +139,6 @@
             self.finish({'reason': 'this host does not lead'})
             return
         wait_s = self.dispatcher.take_limited(
-            body.report(boot_clock.now_s()), takes=body.takes
+            body.to_report(boot_clock.now_s()), takes=body.takes
         )
         self.finish({'allowed': wait_s is None, 'wait_s': wait_s or 0.0})
--- a/limpetroute/forwarding/limit_client.py
+++ b/limpetroute/forwarding/limit_client.py
@@ -98,7 +98,7 @@
         if text is None:
             self.note(runner, None)
             return
-        limit_per_s = rate_limit.read_limit(text)
+        limit_per_s = rate_limit.parse_limit(text)
         if limit_per_s is not None:
             self.note(runner, limit_per_s)
             return
@@ -175,13 +175,13 @@
     ) -> bool:
         now_s = _now_s()
         hosts = max(1, self._entry_hosts())
-        rate_per_s = max(limit_per_s, rate_limit.LEAST_PER_S)
+        rate_per_s = max(limit_per_s, rate_limit.MIN_PROBE_RATE_PER_S)
         rate_per_s *= LOCAL_PART / hosts
         bucket = self._own.get(runner.incarnation)
         if bucket is None:
             bucket = rate_limit.TokenBucket(rate_per_s=rate_per_s, now_s=now_s)
             self._own[runner.incarnation] = bucket
-        bucket.change(rate_per_s, now_s)
+        bucket.set_rate(rate_per_s, now_s)
         if bucket.has_token(now_s):
             bucket.take(now_s)
             return True
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -143,4 +143,4 @@
                 }
             else:
                 no_readers = set()
-        return no_decoders, no_readers | self._limits.spent(readers, now_s)
+        return no_decoders, no_readers | self._limits.exhausted(readers, now_s)
--- a/limpetroute/routing/rate_limit.py
+++ b/limpetroute/routing/rate_limit.py
@@ -8,10 +8,10 @@
 BURST_S = 0.5
 # A runner that takes nothing is still asked this often: it names its limit
 # in answers alone, and would otherwise never be heard to take it back.
-LEAST_PER_S = 0.2
+MIN_PROBE_RATE_PER_S = 0.2
 
 
-def read_limit(text: str) -> float | None:
+def parse_limit(text: str) -> float | None:
     """Return the limit that a runner wrote, or None if it is none.
 
     Parameters
@@ -52,7 +52,7 @@
         """Requests a second in the long run."""
         return self._rate_per_s
 
-    def change(self, rate_per_s: float, now_s: float) -> None:
+    def set_rate(self, rate_per_s: float, now_s: float) -> None:
         """Go on at another rate with what is left."""
         self._fill(now_s)
         self._rate_per_s = rate_per_s
--- a/limpetroute/routing/runner_limits.py
+++ b/limpetroute/routing/runner_limits.py
@@ -8,14 +8,14 @@
 from limpetroute.routing import runner_incarnation
 
 # Runners that are kept; the one that told nothing for longest goes first.
-KEPT_RUNNERS = 4000
+MAX_RUNNERS = 4000
 # A host that is refused comes back by then at the latest.
 LONGEST_WAIT_S = 0.5
 SHORTEST_WAIT_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Report:
+class LimitReport:
     """What a runner named, as a host heard it.
 
     Parameters
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Limited:
-    report: Report
+    report: LimitReport
     bucket: rate_limit.TokenBucket | None
     turn_s: float = 0.0
 
@@ -57,7 +57,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(runners={len(self._limited)!r})'
 
-    def note(self, report: Report, now_s: float) -> None:
+    def note_limit(self, report: LimitReport, now_s: float) -> None:
         """Take what a runner named, unless something newer is known."""
         runner_id = report.incarnation.runner_id
         known = self._limited.get(runner_id)
@@ -75,13 +75,15 @@
         if report.limit_per_s is None:
             known.bucket = None
         else:
-            rate_per_s = max(report.limit_per_s, rate_limit.LEAST_PER_S)
+            rate_per_s = max(
+                report.limit_per_s, rate_limit.MIN_PROBE_RATE_PER_S
+            )
             if known.bucket is None:
                 known.bucket = rate_limit.TokenBucket(
                     rate_per_s=rate_per_s, now_s=now_s
                 )
-            known.bucket.change(rate_per_s, now_s)
-        while len(self._limited) > KEPT_RUNNERS:
+            known.bucket.set_rate(rate_per_s, now_s)
+        while len(self._limited) > MAX_RUNNERS:
             self._limited.popitem(last=False)
 
     def limit_per_s(self, runner_id: str) -> float | None:
@@ -94,7 +96,7 @@
         bucket = self._bucket(runner_id)
         return bucket is None or bucket.has_token(now_s)
 
-    def spent(
+    def exhausted(
         self, runner_ids: typing.Iterable[str], now_s: float
     ) -> set[str]:
         """Return which runners no request may be sent to now."""
@@ -108,7 +110,7 @@
         if bucket is not None:
             bucket.take(now_s)
 
-    def turn_s(self, runner_id: str, now_s: float) -> float:
+    def retry_wait_s(self, runner_id: str, now_s: float) -> float:
         """Return how long a host that was refused is to wait.
 
         Each gets a turn of its own: told the same time, all hosts would
--- a/tests/routing/test_runner_limits.py
+++ b/tests/routing/test_runner_limits.py
@@ -14,7 +14,7 @@
 
 
 def _report(limit_per_s, received_s=0.0, name='r', started_ms=1):
-    return runner_limits.Report(
+    return runner_limits.LimitReport(
         incarnation=runner_incarnation.RunnerIncarnation(
             runner_id=name, started_ms=started_ms
         ),
@@ -60,12 +60,12 @@
         if now_s < self._waits_s[host]:
             return
         self.asked += 1
-        self.limits.note(_report(self.limit_at(now_s), now_s), now_s)
+        self.limits.note_limit(_report(self.limit_at(now_s), now_s), now_s)
         if self.limits.has_token('r', now_s):
             self.limits.take('r', now_s)
             self.sent_s.append(now_s)
             return
-        self._waits_s[host] = now_s + self.limits.turn_s('r', now_s)
+        self._waits_s[host] = now_s + self.limits.retry_wait_s('r', now_s)
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -109,34 +109,34 @@
 
 def test_a_limit_that_is_taken_back_binds_no_more():
     limits = runner_limits.RunnerLimits()
-    limits.note(_report(1.0, 10.0), 10.0)
+    limits.note_limit(_report(1.0, 10.0), 10.0)
     assert not limits.has_token('r', 10.0)
-    limits.note(_report(None, 11.0), 11.0)
+    limits.note_limit(_report(None, 11.0), 11.0)
     assert limits.has_token('r', 11.0)
-    assert limits.turn_s('r', 11.0) == 0.0
+    assert limits.retry_wait_s('r', 11.0) == 0.0
 
 
 def test_what_was_heard_before_comes_late_and_changes_nothing():
     limits = runner_limits.RunnerLimits()
-    limits.note(_report(None, 11.0), 11.0)
-    limits.note(_report(1.0, 10.0), 11.1)
+    limits.note_limit(_report(None, 11.0), 11.0)
+    limits.note_limit(_report(1.0, 10.0), 11.1)
     assert limits.limit_per_s('r') is None
 
 
 def test_another_life_of_a_runner_has_another_limit():
     limits = runner_limits.RunnerLimits()
-    limits.note(_report(1.0, 10.0, started_ms=1), 10.0)
-    limits.note(_report(5.0, 9.0, started_ms=2), 10.5)
+    limits.note_limit(_report(1.0, 10.0, started_ms=1), 10.0)
+    limits.note_limit(_report(5.0, 9.0, started_ms=2), 10.5)
     assert limits.limit_per_s('r') == 5.0
-    limits.note(_report(1.0, 12.0, started_ms=1), 12.0)
+    limits.note_limit(_report(1.0, 12.0, started_ms=1), 12.0)
     assert limits.limit_per_s('r') == 5.0
 
 
 def test_many_runners_take_a_bounded_place():
     limits = runner_limits.RunnerLimits()
-    for number in range(runner_limits.KEPT_RUNNERS + 10):
-        limits.note(_report(1.0, name=f'r{number}'), 0.0)
-    assert len(limits._limited) == runner_limits.KEPT_RUNNERS
+    for number in range(runner_limits.MAX_RUNNERS + 10):
+        limits.note_limit(_report(1.0, name=f'r{number}'), 0.0)
+    assert len(limits._limited) == runner_limits.MAX_RUNNERS
     assert limits.limit_per_s('r0') is None
 
 
@@ -191,7 +191,7 @@
 def test_the_leader_places_streams_within_a_limit(name):
     """All of a waiting queue would go to the limited runner in one pass."""
     limits = runner_limits.RunnerLimits()
-    limits.note(_report(2.0, name=name, started_ms=0), 0.0)
+    limits.note_limit(_report(2.0, name=name, started_ms=0), 0.0)
     streams = Streams(limits)
     streams.run(20.0, 20.0)
     assert _most(streams.times_s(name)) <= 1.5 * 2.0 * WINDOW_S + 5
