--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -86,7 +86,7 @@
             step = await self._send(runner)
             if step is next_step.Step.RELAY:
                 return
-            if step is not next_step.Step.AGAIN:
+            if step is not next_step.Step.RETRY:
                 await self._end(step, 'after a send')
                 return
 
@@ -177,8 +177,8 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            left_s=self._context.left_s(self._request, self._route),
-            may_go_on=self._may_go_on,
+            remaining_s=self._context.left_s(self._request, self._route),
+            can_retry=self._may_go_on,
         )
 
     def _may_go_on(self) -> bool:
@@ -199,7 +199,7 @@
             request=self._request,
             route=self._route,
             responder=self._responder,
-            step=self._history.truly(step),
+            step=self._history.final_step(step),
             reason=reason,
             retry_after_s=retry_after_s,
         )
--- a/limpetroute/forwarding/prompt_reading.py
+++ b/limpetroute/forwarding/prompt_reading.py
@@ -130,7 +130,7 @@
             result=(
                 failed.result if failed else send_result.SendResult.ANSWERED
             ),
-            step=next_step.Step.AGAIN,
+            step=next_step.Step.RETRY,
             took_s=_now_s() - begun_s,
             detail=failed.detail if failed else f'{tokens} tokens',
             part='prefill',
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -122,7 +122,7 @@
                 self._full.clear()
             if step is next_step.Step.RELAY:
                 return
-            if step is not next_step.Step.AGAIN:
+            if step is not next_step.Step.RETRY:
                 await self._end(step, 'after a send')
                 return
 
@@ -253,7 +253,7 @@
             return next_step.Step.REFUSE
         if not self._context.may_send_again(self._service.name):
             return next_step.Step.REFUSE
-        return next_step.Step.AGAIN
+        return next_step.Step.RETRY
 
     async def _decode(
         self,
@@ -290,7 +290,7 @@
                     source.taken = True
                 result = await self._relay.run(
                     call,
-                    may_leave=self._history.another_may_follow,
+                    may_leave=self._history.allows_another_send,
                     on_first_event=on_first_event,
                 )
         self._judge(runner, result, source, _now_s() - begun_s)
@@ -319,7 +319,7 @@
         )
         if step is next_step.Step.RELAY and not self._responder.finished:
             await self._relay_failure(call)
-        if step is next_step.Step.AGAIN and await self._is_gone(
+        if step is next_step.Step.RETRY and await self._is_gone(
             runner, result
         ):
             self._sends_to_gone += 1
@@ -340,7 +340,7 @@
         self, runner: runner_info.RunnerInfo, result: send_result.SendResult
     ) -> bool:
         """Return whether a runner that broke off takes no connection."""
-        if result.surely_not_run:
+        if result.is_known_not_run:
             return False
         call = runner_call.RunnerCall(
             runner=runner, dialect=self._context.dialect
@@ -392,8 +392,8 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            left_s=self._context.left_s(self._request, self._route),
-            may_go_on=self._may_go_on,
+            remaining_s=self._context.left_s(self._request, self._route),
+            can_retry=self._may_go_on,
         )
 
     def _may_go_on(self) -> bool:
@@ -412,7 +412,7 @@
             request=self._request,
             route=self._route,
             responder=self._responder,
-            step=self._history.truly(step),
+            step=self._history.final_step(step),
             reason=reason,
             retry_after_s=retry_after_s,
         )
--- a/limpetroute/routing/send_history.py
+++ b/limpetroute/routing/send_history.py
@@ -28,7 +28,7 @@
         )
 
     @property
-    def another_may_follow(self) -> bool:
+    def allows_another_send(self) -> bool:
         """Whether the route allows a send after one that runs now."""
         return self.sends + 1 < self._route.max_sends
 
@@ -36,8 +36,8 @@
         self,
         result: send_result.SendResult,
         *,
-        left_s: float,
-        may_go_on: typing.Callable[[], bool],
+        remaining_s: float,
+        can_retry: typing.Callable[[], bool],
     ) -> next_step.Step:
         """Count a send and return what follows it.
 
@@ -45,30 +45,30 @@
         ----------
         result : SendResult
             How it ended.
-        left_s : float
+        remaining_s : float
             Time left for the answer.
-        may_go_on : callable
+        can_retry : callable
             Asked only where another send is allowed: whether there is a
             runner and, after a first send, budget for one.
         """
         if result is not send_result.SendResult.NOT_SENT:
             self.sends += 1
-        situation = next_step.Situation(
+        situation = next_step.RetryContext(
             repeatable=self._route.repeatable,
             result=result,
             ran_before=self._ran_before,
             sends=self.sends,
             max_sends=self._route.max_sends,
-            left_s=left_s,
+            remaining_s=remaining_s,
         )
         step = next_step.next_step(situation)
-        if step is next_step.Step.AGAIN and not may_go_on():
-            step = next_step.without_another(situation)
-        if not result.surely_not_run:
+        if step is next_step.Step.RETRY and not can_retry():
+            step = next_step.without_retry(situation)
+        if not result.is_known_not_run:
             self._ran_before = True
         return step
 
-    def truly(self, step: next_step.Step) -> next_step.Step:
+    def final_step(self, step: next_step.Step) -> next_step.Step:
         """Return a final step that promises no more than is known.
 
         A request that may have run is never said not to have.
--- a/limpetroute/routing/send_result.py
+++ b/limpetroute/routing/send_result.py
@@ -21,7 +21,7 @@
     ANSWERED = 'answered'
 
     @property
-    def surely_not_run(self) -> bool:
+    def is_known_not_run(self) -> bool:
         """Whether the request did not run and will not."""
         return self in (
             SendResult.NOT_SENT,
--- a/tests/routing/test_next_step.py
+++ b/tests/routing/test_next_step.py
@@ -33,9 +33,11 @@
         min_size=1,
         max_size=6,
     ),
-    left_s=st.floats(0, 10),
+    remaining_s=st.floats(0, 10),
 )
-def test_never_runs_twice_and_never_lies(repeatable, max_sends, sends, left_s):
+def test_never_runs_twice_and_never_lies(
+    repeatable, max_sends, sends, remaining_s
+):
     runs = 0
     ran_before = False
     reached = 0
@@ -43,23 +45,23 @@
         truths = MAY_HAVE_RUN[result]
         runs += truths[coin % len(truths)]
         reached += result is not Result.NOT_SENT
-        now = next_step.Situation(
+        now = next_step.RetryContext(
             repeatable=repeatable,
             result=result,
             ran_before=ran_before,
             sends=reached,
             max_sends=max_sends,
-            left_s=left_s,
+            remaining_s=remaining_s,
         )
         step = next_step.next_step(now)
-        ran_before = ran_before or not result.surely_not_run
+        ran_before = ran_before or not result.is_known_not_run
         assert reached <= max_sends
         if not repeatable:
             assert runs <= 1
-        for ending in (step, next_step.without_another(now)):
+        for ending in (step, next_step.without_retry(now)):
             if ending is next_step.Step.REFUSE:
                 assert not runs
-        if step is not next_step.Step.AGAIN:
+        if step is not next_step.Step.RETRY:
             return
         if not repeatable:
             assert not ran_before
@@ -69,21 +71,21 @@
     ('result', 'repeatable', 'step'),
     [
         (Result.ANSWERED, False, next_step.Step.RELAY),
-        (Result.REFUSED, False, next_step.Step.AGAIN),
+        (Result.REFUSED, False, next_step.Step.RETRY),
         (Result.BROKEN, False, next_step.Step.FAIL),
-        (Result.BROKEN, True, next_step.Step.AGAIN),
+        (Result.BROKEN, True, next_step.Step.RETRY),
         (Result.FAILED, False, next_step.Step.RELAY),
-        (Result.FAILED, True, next_step.Step.AGAIN),
+        (Result.FAILED, True, next_step.Step.RETRY),
         (Result.TIMED_OUT, False, next_step.Step.EXPIRE),
     ],
 )
 def test_the_table(result, repeatable, step):
-    now = next_step.Situation(
+    now = next_step.RetryContext(
         repeatable=repeatable,
         result=result,
         ran_before=False,
         sends=1,
         max_sends=2,
-        left_s=1.0,
+        remaining_s=1.0,
     )
     assert next_step.next_step(now) is step
