--- a/limpetroute/forwarding/limit_client.py
+++ b/limpetroute/forwarding/limit_client.py
@@ -103,8 +103,8 @@
             self.note(runner, limit_per_s)
             return
         load = self._view.load(runner.runner_id)
-        if load.unreadable_limit != text:
-            load.unreadable_limit = text
+        if load.invalid_limit != text:
+            load.invalid_limit = text
             LOG.warning(
                 'a limit cannot be read',
                 extra={'runner': runner.runner_id, 'text': text[:80]},
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -181,7 +181,7 @@
     def _rooms(self, place: placement.Placement) -> AssignedRunners | None:
         view = self._context.view
         if place.forecast is not None:
-            view.load(place.decode_id).note_all_streams(
+            view.load(place.decode_id).note_fleet_streams(
                 place.forecast.beside + 1, _now_s()
             )
         decode = view.runner(place.decode_id)
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -146,7 +146,7 @@
         if runner.runner_id in ask.avoid:
             return None
         taken = self._reservations.streams(runner.runner_id)
-        hidden = self._outliers.hidden(runner.runner_id, now_s)
+        hidden = self._outliers.hidden_slots(runner.runner_id, now_s)
         if taken + hidden >= self._engine.slots:
             return None
         if not self._limits.has_token(runner.runner_id, now_s):
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -139,7 +139,7 @@
                 no_readers = {
                     one
                     for one in no_readers
-                    if self._outliers.seemed_gone_s(one, now_s)
+                    if self._outliers.runner_gone_s(one, now_s)
                 }
             else:
                 no_readers = set()
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -81,7 +81,7 @@
         memory_tokens = engine.memory_tokens * min(1.0, part)
         if load.requests and load.tokens + tokens > memory_tokens:
             continue
-        rank = (load.rests(now_s), load.tokens, rng.random())
+        rank = (load.is_ejected(now_s), load.tokens, rng.random())
         if best_rank is None or rank < best_rank:
             best, best_rank = one, rank
     return best
@@ -101,7 +101,7 @@
         if not one.ready or one.stage is not stage_module.Stage.PREFILL:
             continue
         load = loads.get(one.runner_id) or runner_load.RunnerLoad()
-        if load.rests(now_s) or load.is_limited(now_s):
+        if load.is_ejected(now_s) or load.is_limited(now_s):
             continue
         rank = (load.tokens, rng.random())
         if best_rank is None or rank < best_rank:
--- a/limpetroute/routing/outlier_detector.py
+++ b/limpetroute/routing/outlier_detector.py
@@ -30,21 +30,21 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(failing={self._failing!r})'
 
-    def failed(self, runner_id: str, now_s: float) -> None:
+    def note_failure(self, runner_id: str, now_s: float) -> None:
         """Note that a runner did not answer as it should."""
         load = self._failing.setdefault(runner_id, runner_load.RunnerLoad())
         load.note_failure(now_s)
 
-    def went_well(self, runner_id: str) -> None:
+    def note_success(self, runner_id: str) -> None:
         """Note that a stream went well."""
         self._failing.pop(runner_id, None)
 
-    def forget(self, runner_id: str) -> None:
+    def reset(self, runner_id: str) -> None:
         """Forget what is known of a runner; it has started again."""
         self._failing.pop(runner_id, None)
         self._hidden.pop(runner_id, None)
 
-    def full(self, runner_id: str, hidden: int, now_s: float) -> None:
+    def note_full(self, runner_id: str, hidden: int, now_s: float) -> None:
         """Count slots that hosts out of reach must have taken.
 
         A host that cannot reach the leader places by itself. What it
@@ -53,7 +53,7 @@
         """
         self._hidden[runner_id] = (max(1, hidden), now_s + HIDDEN_S)
 
-    def hidden(self, runner_id: str, now_s: float) -> int:
+    def hidden_slots(self, runner_id: str, now_s: float) -> int:
         """Return the slots that others are taken to use."""
         hidden, until_s = self._hidden.get(runner_id, (0, 0.0))
         return hidden if now_s < until_s else 0
@@ -78,7 +78,7 @@
             runner_id
             for runner_id, load in self._failing.items()
             if runner_id in stage_runners
-            and (load.rests(now_s) or self._uses(runner_id) > 0)
+            and (load.is_ejected(now_s) or self._uses(runner_id) > 0)
         }
 
     def gone_s(
@@ -89,12 +89,12 @@
             return {}
         found = {}
         for one in runners:
-            seemed_s = self.seemed_gone_s(one.runner_id, now_s)
+            seemed_s = self.runner_gone_s(one.runner_id, now_s)
             if seemed_s:
                 found[one.runner_id] = seemed_s
         return found
 
-    def seemed_gone_s(self, runner_id: str, now_s: float) -> float:
+    def runner_gone_s(self, runner_id: str, now_s: float) -> float:
         """Return for how long one runner has seemed gone; 0 if it has not."""
         load = self._failing.get(runner_id)
         return load.gone_s(now_s) if load is not None else 0.0
--- a/limpetroute/routing/plain_choice.py
+++ b/limpetroute/routing/plain_choice.py
@@ -56,7 +56,7 @@
         waiting = float(load.requests)
         if one.zone == zone:
             waiting -= NEAR_BONUS
-        rank = (load.rests(now_s), waiting, rng.random())
+        rank = (load.is_ejected(now_s), waiting, rng.random())
         if best_rank is None or rank < best_rank:
             best, best_rank = one, rank
     return best
--- a/limpetroute/routing/runner_load.py
+++ b/limpetroute/routing/runner_load.py
@@ -28,7 +28,7 @@
         Tokens of KV memory that these hold or will hold.
     failures : int
         Failures in a row.
-    rests_until_s : float
+    ejected_until_s : float
         Time before which it is only used if there is no other.
     answer_s : float
         Smoothed time of its plain answers; 0 while unknown.
@@ -39,23 +39,23 @@
         last answer here says.
     limited_until_s : float
         Time before which nothing may be sent within that limit.
-    unreadable_limit : str
+    invalid_limit : str
         The last text in place of a limit that was none.
-    all_streams, all_streams_s : int, float
+    fleet_streams, fleet_streams_received_s : int, float
         Streams of all hosts there, as the leader said last, and when.
     """
 
     requests: int = 0
     tokens: int = 0
     failures: int = 0
-    rests_until_s: float = 0.0
+    ejected_until_s: float = 0.0
     answer_s: float = 0.0
     failing_since_s: float = 0.0
     limit_per_s: float | None = None
     limited_until_s: float = 0.0
-    unreadable_limit: str = ''
-    all_streams: int = 0
-    all_streams_s: float = -math.inf
+    invalid_limit: str = ''
+    fleet_streams: int = 0
+    fleet_streams_received_s: float = -math.inf
 
     def note_failure(self, now_s: float) -> None:
         """Count a failure and leave the runner alone for a while."""
@@ -63,12 +63,12 @@
             self.failing_since_s = now_s
         rest_s = min(FIRST_REST_S * 2**self.failures, LONGEST_REST_S)
         self.failures += 1
-        self.rests_until_s = now_s + rest_s
+        self.ejected_until_s = now_s + rest_s
 
     def note_success(self, answer_s: float) -> None:
         """Count a good answer and its time."""
         self.failures = 0
-        self.rests_until_s = 0.0
+        self.ejected_until_s = 0.0
         if not self.answer_s:
             self.answer_s = answer_s
         self.answer_s += (answer_s - self.answer_s) / 8
@@ -79,20 +79,20 @@
             return 0.0
         return now_s - self.failing_since_s
 
-    def note_all_streams(self, count: int, now_s: float) -> None:
+    def note_fleet_streams(self, count: int, now_s: float) -> None:
         """Take note of how many streams of all hosts the runner has."""
-        self.all_streams = count
-        self.all_streams_s = now_s
+        self.fleet_streams = count
+        self.fleet_streams_received_s = now_s
 
     def seems_full(self, slots: int, now_s: float) -> bool:
         """Return whether other hosts' streams leave no slot, as last heard."""
-        heard_s = now_s - self.all_streams_s
-        return heard_s < HEARD_VALID_S and self.all_streams >= slots
+        heard_s = now_s - self.fleet_streams_received_s
+        return heard_s < HEARD_VALID_S and self.fleet_streams >= slots
 
     def is_limited(self, now_s: float) -> bool:
         """Return whether the runner takes no request now."""
         return now_s < self.limited_until_s
 
-    def rests(self, now_s: float) -> bool:
+    def is_ejected(self, now_s: float) -> bool:
         """Return whether the runner is left alone."""
-        return now_s < self.rests_until_s
+        return now_s < self.ejected_until_s
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -171,7 +171,7 @@
         """
         self._reservations.forget_runner(runner_id)
         self._prefill.forget_runner(runner_id)
-        self._outliers.forget(runner_id)
+        self._outliers.reset(runner_id)
 
     def ask(self, ask: placement.PlacementRequest, now_s: float) -> None:
         """Take a stream; `decide` tells what it gets.
@@ -213,7 +213,7 @@
         """Take note that a prompt was read apart."""
         reader_id = self._prefill.done(request_id, attempt, now_s)
         if reader_id is not None:
-            self._outliers.went_well(reader_id)
+            self._outliers.note_success(reader_id)
 
     def end(self, end: placement.Release, now_s: float) -> None:
         """Take a place back and learn from how the stream went."""
@@ -223,14 +223,16 @@
             self._admission.released(now_s)
         for runner_id in end.full:
             seen = self._reservations.streams(runner_id)
-            self._outliers.full(runner_id, self._engine.slots - seen, now_s)
+            self._outliers.note_full(
+                runner_id, self._engine.slots - seen, now_s
+            )
         for runner_id in end.failed:
-            self._outliers.failed(runner_id, now_s)
+            self._outliers.note_failure(runner_id, now_s)
         if place is not None and end.whole and not end.failed:
             # One that its caller gave up says nothing of the runner. Of the
             # reader none does: its part was over seconds ago, and it may
             # be gone since.
-            self._outliers.went_well(place.decode_id)
+            self._outliers.note_success(place.decode_id)
 
     def adopt(
         self,
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -41,9 +41,9 @@
         now_s = step * 0.05
         name = f'{rng.choice("dp")}{rng.randrange(4)}'
         if rng.random() < 0.2:
-            known.outliers.failed(name, now_s)
+            known.outliers.note_failure(name, now_s)
         elif rng.random() < 0.2:
-            known.outliers.went_well(name)
+            known.outliers.note_success(name)
         changing = {'d7'} if step % 50 < 10 else set()
         known.refresh(now_s, changing)
         for stage, usable in (
@@ -66,7 +66,7 @@
     for decoders in (45, 900):
         known = Known(decoders)
         known.refresh(0.0)
-        known.outliers.failed('d1', 0.0)
+        known.outliers.note_failure('d1', 0.0)
         counter = work_counter.WorkCounter()
         with counter.counting():
             assert known.refresh(0.1)
--- a/tests/routing/test_local_placement.py
+++ b/tests/routing/test_local_placement.py
@@ -48,8 +48,8 @@
 # they were told to be full a moment before.
 def test_a_runner_that_was_full_a_moment_ago_is_left_alone():
     load = runner_load.RunnerLoad()
-    load.note_all_streams(builders.ENGINE.slots, 10.0)
+    load.note_fleet_streams(builders.ENGINE.slots, 10.0)
     assert choose(load, 11.0) is None
     assert choose(load, 20.0) is not None
-    load.note_all_streams(builders.ENGINE.slots - 1, 20.0)
+    load.note_fleet_streams(builders.ENGINE.slots - 1, 20.0)
     assert choose(load, 20.0) is not None
