--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -12,7 +12,7 @@
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.routing import next_step
-from limpetroute.routing import plain_choice
+from limpetroute.routing import plain_runner_choice
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
 from limpetroute.routing import send_history
@@ -98,7 +98,7 @@
         )
 
     async def _end_without_runner(self) -> None:
-        wait_s = plain_choice.limit_wait_s(
+        wait_s = plain_runner_choice.limit_wait_s(
             self._context.view.runners(self._service),
             loads=self._context.view.loads,
             tried=self._tried,
@@ -111,7 +111,7 @@
 
     def _choose(self) -> runner_info.RunnerInfo | None:
         context = self._context
-        return plain_choice.choose(
+        return plain_runner_choice.choose(
             context.view.runners(self._service),
             loads=context.view.loads,
             zone=context.zone,
--- a/limpetroute/routing/plain_choice.py
+++ b/limpetroute/routing/plain_runner_choice.py
@@ -9,7 +9,7 @@
 # Requests that a runner of the own zone may have more than the least
 # loaded one and still be taken. Hosts don't see each other's requests,
 # so a difference of one says little; bytes between zones are paid for.
-NEAR_BONUS = 1.0
+OWN_ZONE_BONUS_REQUESTS = 1.0
 
 
 def choose(
@@ -55,7 +55,7 @@
             continue
         waiting = float(load.requests)
         if one.zone == zone:
-            waiting -= NEAR_BONUS
+            waiting -= OWN_ZONE_BONUS_REQUESTS
         rank = (load.is_ejected(now_s), waiting, rng.random())
         if best_rank is None or rank < best_rank:
             best, best_rank = one, rank
--- a/limpetroute/routing/runner_choice.py
+++ b/limpetroute/routing/runner_selector.py
@@ -12,25 +12,25 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Chosen:
+class ChosenRunners:
     """The runners of one stream.
 
     Parameters
     ----------
-    decoder : RunnerInfo
+    decode_runner : RunnerInfo
         Writes its answer.
-    reader : RunnerInfo or None
+    prefill_runner : RunnerInfo or None
         Reads its prompt; None if the decode runner does.
     ready_s : float
         When its first event is expected.
     """
 
-    decoder: runner_info.RunnerInfo
-    reader: runner_info.RunnerInfo | None
+    decode_runner: runner_info.RunnerInfo
+    prefill_runner: runner_info.RunnerInfo | None
     ready_s: float
 
 
-class RunnerChoice:
+class RunnerSelector:
     """Chooses the runners of waiting streams, at one moment.
 
     What is found for one stream holds for those behind it: with all
@@ -64,8 +64,8 @@
         self._fleet = fleet
         self._freed = freed
         self._now_s = now_s
-        self._reader: runner_info.RunnerInfo | None = None
-        self._reader_is_busy = False
+        self._prefill_runner: runner_info.RunnerInfo | None = None
+        self._prefill_runner_is_busy = False
         self._idle: list[runner_info.RunnerInfo] | None = None
 
     def __repr__(self) -> str:
@@ -76,49 +76,61 @@
         """Most memory that is free at a runner that a stream has left."""
         return max(map(self._free_tokens, self._freed), default=-math.inf)
 
-    def choose(self, one: waiting_stream.WaitingStream) -> Chosen | None:
+    def choose(
+        self, one: waiting_stream.WaitingStream
+    ) -> ChosenRunners | None:
         """Return the runners that a stream gets, or None.
 
         They are expected to be taken before the next stream is asked for.
         """
         ask = one.ask
-        reader = self._first_free_reader() if ask.reads_prompt else None
-        if reader is not None and self._reader_is_busy:
+        prefill_runner = (
+            self._first_free_prefill_runner() if ask.reads_prompt else None
+        )
+        if prefill_runner is not None and self._prefill_runner_is_busy:
             # A decode runner with room that reads the prompt itself is
             # slower, but may be done sooner than the queue.
             if not self._prefill.writers_read_well or not self._idle_runners:
                 return None
             ready_s = self._prefill.ready_s(ask, None, self._now_s)
-            if ready_s >= self._prefill.ready_s(ask, reader, self._now_s):
+            if ready_s >= self._prefill.ready_s(
+                ask, prefill_runner, self._now_s
+            ):
                 return None
-            reader = None
+            prefill_runner = None
         else:
-            ready_s = self._prefill.ready_s(ask, reader, self._now_s)
-        if reader is None:
-            decoder = self._self_reading_decoder(one, ready_s)
+            ready_s = self._prefill.ready_s(ask, prefill_runner, self._now_s)
+        if prefill_runner is None:
+            decode_runner = self._self_prefilling_decode_runner(one, ready_s)
         else:
-            decoder = self._decoder(one, ready_s)
-        if decoder is None:
+            decode_runner = self._best_decode_runner(one, ready_s)
+        if decode_runner is None:
             return None
-        if reader is None:
+        if prefill_runner is None:
             self._idle = None
         else:
-            self._reader = None
-        return Chosen(decoder=decoder, reader=reader, ready_s=ready_s)
+            self._prefill_runner = None
+        return ChosenRunners(
+            decode_runner=decode_runner,
+            prefill_runner=prefill_runner,
+            ready_s=ready_s,
+        )
 
     def _free_tokens(self, runner: runner_info.RunnerInfo) -> float:
         return self._fleet.decoders.free_tokens(runner.runner_id)
 
-    def _first_free_reader(self) -> runner_info.RunnerInfo | None:
-        if self._reader is None:
-            self._reader = self._prefill.first_free(self._now_s)
-            self._reader_is_busy = (
-                self._reader is not None
-                and not self._prefill.may_queue(self._reader, self._now_s)
+    def _first_free_prefill_runner(self) -> runner_info.RunnerInfo | None:
+        if self._prefill_runner is None:
+            self._prefill_runner = self._prefill.first_free(self._now_s)
+            self._prefill_runner_is_busy = (
+                self._prefill_runner is not None
+                and not self._prefill.may_queue(
+                    self._prefill_runner, self._now_s
+                )
             )
-        return self._reader
+        return self._prefill_runner
 
-    def _decoder(
+    def _best_decode_runner(
         self, one: waiting_stream.WaitingStream, ready_s: float
     ) -> runner_info.RunnerInfo | None:
         if one.fits_nowhere:
@@ -129,7 +141,7 @@
         one.fits_nowhere = found is None
         return found
 
-    def _self_reading_decoder(
+    def _self_prefilling_decode_runner(
         self, one: waiting_stream.WaitingStream, ready_s: float
     ) -> runner_info.RunnerInfo | None:
         """Return the best decode runner that may read a prompt now."""
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -12,9 +12,9 @@
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
 from limpetroute.routing import room_probe
-from limpetroute.routing import runner_choice
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_limits
+from limpetroute.routing import runner_selector
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
 from limpetroute.routing import stage_split
@@ -299,7 +299,7 @@
         self._fleet.update(now_s)
         freed = self._fleet.by_room(self._reservations.take_freed())
         most_checks = self._decode_placement.room_checks + MOST_ROOM_CHECKS
-        choice = runner_choice.RunnerChoice(
+        choice = runner_selector.RunnerSelector(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
             fleet=self._fleet,
@@ -337,27 +337,27 @@
     def _place(
         self,
         one: waiting_stream.WaitingStream,
-        chosen: runner_choice.Chosen,
+        chosen: runner_selector.ChosenRunners,
         now_s: float,
     ) -> placement.Placement:
         if self._in_time(one, now_s):
             self._in_time_in_a_row += 1
         else:
             self._in_time_in_a_row = 0
-        reader = chosen.reader
+        reader = chosen.prefill_runner
         expected = self._forecast(one, chosen, now_s)
         place = placement.Placement(
             request_id=one.request_id,
-            decode_id=chosen.decoder.runner_id,
+            decode_id=chosen.decode_runner.runner_id,
             prefill_id=reader.runner_id if reader else '',
             forecast=expected,
         )
-        self._limits.take(chosen.decoder.runner_id, now_s)
+        self._limits.take(chosen.decode_runner.runner_id, now_s)
         if reader is not None:
             self._limits.take(reader.runner_id, now_s)
         self._waiting.remove(one.request_id)
         self._admission.served(one.ask, now_s)
-        self._prefill.take(one.ask, reader, chosen.decoder, now_s)
+        self._prefill.take(one.ask, reader, chosen.decode_runner, now_s)
         if reader is None and self._prefill.is_long(one.ask):
             self._reservations.note_long_pause(place.decode_id)
         self._reservations.add(
@@ -373,17 +373,19 @@
     def _forecast(
         self,
         one: waiting_stream.WaitingStream,
-        chosen: runner_choice.Chosen,
+        chosen: runner_selector.ChosenRunners,
         now_s: float,
     ) -> forecast.Forecast:
-        decode_id = chosen.decoder.runner_id
+        decode_id = chosen.decode_runner.runner_id
         return forecast.Forecast(
             queued_s=now_s - one.sent_s - one.ask.waited_s,
             first_event_s=chosen.ready_s - one.sent_s,
             in_time=one.is_on_time(chosen.ready_s),
             beside=self._reservations.streams(decode_id),
-            pause_s=self._prefill.pause_beside_s(one.ask, chosen.reader),
-            read_tokens_per_s=self._prefill.speed(chosen.reader),
+            pause_s=self._prefill.pause_beside_s(
+                one.ask, chosen.prefill_runner
+            ),
+            read_tokens_per_s=self._prefill.speed(chosen.prefill_runner),
         )
 
     # Rejection
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -6,7 +6,7 @@
 from limpetroute.forwarding import fleet_view
 from limpetroute.forwarding import limit_client
 from limpetroute.platform import http_dialect
-from limpetroute.routing import plain_choice
+from limpetroute.routing import plain_runner_choice
 from limpetroute.routing import route_kind
 from limpetroute.wire import call_failed
 from limpetroute.wire import reply
@@ -151,10 +151,10 @@
     args = {'loads': view.loads, 'tried': (), 'now_s': 10.0}
     rng = harness.random.Random(1)
     for _ in range(20):
-        one = plain_choice.choose(runners, zone='a', rng=rng, **args)
+        one = plain_runner_choice.choose(runners, zone='a', rng=rng, **args)
         assert one.runner_id == 'r2'
-    assert plain_choice.limit_wait_s(runners[:1], **args) == 10.3 - 10.0
-    assert plain_choice.limit_wait_s(runners[1:], **args) == 0.0
+    assert plain_runner_choice.limit_wait_s(runners[:1], **args) == 10.3 - 10.0
+    assert plain_runner_choice.limit_wait_s(runners[1:], **args) == 0.0
 
 
 def _named(text):
