--- a/limpetroute/bench/fleet_play.py
+++ b/limpetroute/bench/fleet_play.py
@@ -67,7 +67,7 @@
                 slots=shape.slots,
                 memory_tokens=memory_tokens,
                 tokens_per_event=shape.tokens_per_event,
-                handle_life_s=0.5,
+                prefill_result_ttl_s=0.5,
                 stage_change_s=6.0,
             )
         )
--- a/limpetroute/bench/scheduler_cost.py
+++ b/limpetroute/bench/scheduler_cost.py
@@ -20,7 +20,7 @@
     slots=64,
     memory_tokens=38_404,
     tokens_per_event=8,
-    handle_life_s=0.5,
+    prefill_result_ttl_s=0.5,
     stage_change_s=6.0,
 )
 PROMPT_TOKENS = 5000
--- a/limpetroute/border/crash_bodies.py
+++ b/limpetroute/border/crash_bodies.py
@@ -20,7 +20,7 @@
     runner_id: str = pydantic.Field(min_length=1, max_length=200)
     started_ms: int = pydantic.Field(ge=0)
     suspects: dict[Fingerprint, bool] = pydantic.Field(
-        min_length=1, max_length=quarantine.KEPT_SUSPECTS
+        min_length=1, max_length=quarantine.MAX_SUSPECTS_PER_CRASH
     )
 
 
@@ -28,7 +28,7 @@
     """``POST /v1/crashes``."""
 
     crashes: list[CrashBody] = pydantic.Field(
-        min_length=1, max_length=quarantine.KEPT_CRASHES
+        min_length=1, max_length=quarantine.MAX_STORED_CRASHES
     )
     timeout_s: units.Seconds = 1.0
 
--- a/limpetroute/control/control_state.py
+++ b/limpetroute/control/control_state.py
@@ -170,7 +170,7 @@
                     runner_id=runner_id, started_ms=started_ms
                 ),
                 [
-                    quarantine.Suspect(fingerprint=one, begun=begun)
+                    quarantine.Suspect(fingerprint=one, answer_begun=begun)
                     for one, begun in suspects.items()
                 ],
             )
--- a/limpetroute/control/quarantine_handlers.py
+++ b/limpetroute/control/quarantine_handlers.py
@@ -72,7 +72,7 @@
             return
         known = group.state.quarantine
         fingerprint = body.fingerprint
-        trials = known.trials(fingerprint)
+        trials = known.trial_count(fingerprint)
         wait_s = 0.0
         if fingerprint in known:
             wait_s = node.trial_times.wait_s(fingerprint, trials, node.now_s)
@@ -92,7 +92,7 @@
             outcome = result.trial
         # The next delay runs from this trial on.
         wait_s = node.trial_times.wait_s(
-            fingerprint, known.trials(fingerprint), node.now_s
+            fingerprint, known.trial_count(fingerprint), node.now_s
         )
         self._answer(fingerprint, outcome, trials, wait_s)
 
--- a/limpetroute/control/trial_times.py
+++ b/limpetroute/control/trial_times.py
@@ -41,7 +41,7 @@
         known = self._since.get(fingerprint)
         if known is None or known[0] != trials:
             known = self._since[fingerprint] = (trials, now_s)
-            while len(self._since) > quarantine.KEPT_REQUESTS:
+            while len(self._since) > quarantine.MAX_QUARANTINED_REQUESTS:
                 self._since.popitem(last=False)
         self._since.move_to_end(fingerprint)
         delay_s = LAPSE_S
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -116,11 +116,13 @@
         """Take note of a request under which a runner crashed."""
         life = runner.incarnation
         fingerprint = request.fingerprint
-        suspect = quarantine.Suspect(fingerprint=fingerprint, begun=begun)
+        suspect = quarantine.Suspect(
+            fingerprint=fingerprint, answer_begun=begun
+        )
         self._own.note_crash(life, [suspect])
         self._unreported_clears.pop(fingerprint, None)
         unreported = self._unreported.setdefault(life, {})
-        if len(unreported) < quarantine.KEPT_SUSPECTS:
+        if len(unreported) < quarantine.MAX_SUSPECTS_PER_CRASH:
             unreported[fingerprint] = begun
         while len(self._unreported) > MAX_UNREPORTED:
             self._unreported.popitem(last=False)
@@ -131,7 +133,7 @@
         if not self._fleet_wide and not self._own:
             return
         fingerprint = request.fingerprint
-        known = fingerprint in self._fleet_wide or self._own.suspects(
+        known = fingerprint in self._fleet_wide or self._own.is_suspect(
             fingerprint
         )
         if not known:
@@ -182,7 +184,7 @@
         for one, until_s in list(self._waits_until_s.items()):
             if until_s <= now_s:
                 del self._waits_until_s[one]
-        if len(self._waits_until_s) < quarantine.KEPT_REQUESTS:
+        if len(self._waits_until_s) < quarantine.MAX_QUARANTINED_REQUESTS:
             self._waits_until_s[fingerprint] = now_s + wait_s
         return Verdict(allowed=False, wait_s=wait_s)
 
--- a/limpetroute/platform/routes_codec.py
+++ b/limpetroute/platform/routes_codec.py
@@ -98,7 +98,7 @@
             slots=body.engine.slots,
             memory_tokens=body.engine.kv_capacity,
             tokens_per_event=max(1, body.engine.stride),
-            handle_life_s=body.engine.kv_ttl_s,
+            prefill_result_ttl_s=body.engine.kv_ttl_s,
             stage_change_s=body.engine.switch_s,
         )
     return service_module.Service(
--- a/limpetroute/routing/quarantine.py
+++ b/limpetroute/routing/quarantine.py
@@ -8,15 +8,15 @@
 from limpetroute.routing import runner_incarnation
 
 # Crashes of runners after which a request is no longer sent.
-MAX_CRASHES = 3
+CRASHES_TO_QUARANTINE = 3
 # Times that a quarantined request may be tried once more, whatever the
 # number of hosts.
 MAX_TRIALS = 3
 # Bounds of what is kept. The oldest crash goes first, and the quarantined
 # request that was not asked for the longest.
-KEPT_CRASHES = 128
-KEPT_SUSPECTS = 64
-KEPT_REQUESTS = 256
+MAX_STORED_CRASHES = 128
+MAX_SUSPECTS_PER_CRASH = 64
+MAX_QUARANTINED_REQUESTS = 256
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -27,12 +27,12 @@
     ----------
     fingerprint : str
         What all attempts at the request share.
-    begun : bool
+    answer_begun : bool
         Whether a part of its answer had come from the runner.
     """
 
     fingerprint: str
-    begun: bool
+    answer_begun: bool
 
 
 class Trial(enum.StrEnum):
@@ -89,13 +89,13 @@
         """Fingerprints of the quarantined requests."""
         return tuple(self._trials)
 
-    def suspects(self, fingerprint: str) -> bool:
+    def is_suspect(self, fingerprint: str) -> bool:
         """Return whether a request was at a runner that crashed."""
         return fingerprint in self._trials or any(
             fingerprint in suspects for suspects in self._crashes.values()
         )
 
-    def trials(self, fingerprint: str) -> int:
+    def trial_count(self, fingerprint: str) -> int:
         """Return how often a quarantined request was tried again."""
         return self._trials.get(fingerprint, 0)
 
@@ -108,10 +108,13 @@
         known = self._crashes.setdefault(incarnation, {})
         self._crashes.move_to_end(incarnation)
         for one in suspects:
-            if one.fingerprint not in known and len(known) >= KEPT_SUSPECTS:
+            if (
+                one.fingerprint not in known
+                and len(known) >= MAX_SUSPECTS_PER_CRASH
+            ):
                 break
-            known[one.fingerprint] = one.begun
-        while len(self._crashes) > KEPT_CRASHES:
+            known[one.fingerprint] = one.answer_begun
+        while len(self._crashes) > MAX_STORED_CRASHES:
             self._crashes.popitem(last=False)
         self._judge(known)
 
@@ -173,11 +176,12 @@
         found = [
             one
             for one in fingerprints
-            if one not in self._trials and self._blames(one) >= MAX_CRASHES
+            if one not in self._trials
+            and self._blames(one) >= CRASHES_TO_QUARANTINE
         ]
         for one in found:
             self._trials[one] = 0
-        while len(self._trials) > KEPT_REQUESTS:
+        while len(self._trials) > MAX_QUARANTINED_REQUESTS:
             self._trials.popitem(last=False)
 
     def _blames(self, fingerprint: str) -> int:
--- a/limpetroute/routing/service.py
+++ b/limpetroute/routing/service.py
@@ -15,7 +15,7 @@
         Tokens whose KV cache fits a runner's memory.
     tokens_per_event : int
         Tokens that one event of a stream carries.
-    handle_life_s : float
+    prefill_result_ttl_s : float
         Time for which a prefill's result is kept.
     stage_change_s : float
         Time that a runner is away while it changes its stage.
@@ -24,7 +24,7 @@
     slots: int
     memory_tokens: int
     tokens_per_event: int
-    handle_life_s: float
+    prefill_result_ttl_s: float
     stage_change_s: float
 
 
--- a/tests/control/test_quarantine.py
+++ b/tests/control/test_quarantine.py
@@ -82,4 +82,4 @@
     times = trial_times.TrialTimes()
     for number in range(1000):
         times.wait_s(f'f{number}', 0, 1.0)
-    assert len(times._since) == trial_times.quarantine.KEPT_REQUESTS
+    assert len(times._since) == trial_times.quarantine.MAX_QUARANTINED_REQUESTS
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -207,9 +207,11 @@
         for number in range(3 * quarantine_client.MAX_UNREPORTED):
             _crash(client, b'%d' % number, count=1, first=number)
         assert len(client._unreported) == quarantine_client.MAX_UNREPORTED
-        for number in range(2 * quarantine.KEPT_REQUESTS):
+        for number in range(2 * quarantine.MAX_QUARANTINED_REQUESTS):
             client._refuse(f'f{number}', 5.0)
-        assert len(client._waits_until_s) == quarantine.KEPT_REQUESTS
+        assert (
+            len(client._waits_until_s) == quarantine.MAX_QUARANTINED_REQUESTS
+        )
         client.stop()
 
     asyncio.run(work())
--- a/tests/routing/builders.py
+++ b/tests/routing/builders.py
@@ -11,7 +11,7 @@
     slots=12,
     memory_tokens=135_015,
     tokens_per_event=65,
-    handle_life_s=0.5,
+    prefill_result_ttl_s=0.5,
     stage_change_s=6.0,
 )
 DECODE = stage_module.Stage.DECODE
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -21,7 +21,7 @@
 
 def _crash(table, number, *silent, begun=()):
     suspects = [
-        quarantine.Suspect(fingerprint=one, begun=one in begun)
+        quarantine.Suspect(fingerprint=one, answer_begun=one in begun)
         for one in (*silent, *begun)
     ]
     table.note_crash(_life(number), suspects)
@@ -50,7 +50,7 @@
         incarnation = runner_incarnation.RunnerIncarnation(
             runner_id='r', started_ms=started_ms
         )
-        suspect = quarantine.Suspect(fingerprint='bad', begun=False)
+        suspect = quarantine.Suspect(fingerprint='bad', answer_begun=False)
         table.note_crash(incarnation, [suspect])
     assert 'bad' in table
 
@@ -122,19 +122,19 @@
 
 def test_many_distinct_requests_take_a_bounded_place():
     table = quarantine.Quarantine()
-    for request in range(2 * quarantine.KEPT_REQUESTS):
+    for request in range(2 * quarantine.MAX_QUARANTINED_REQUESTS):
         for crash in range(3):
             _crash(table, 3 * request + crash, f'bad-{request}')
     for number in range(200):
         _crash(table, 0, f'good-{number}')
     body = table.dump()
-    assert len(table.requests) == quarantine.KEPT_REQUESTS
+    assert len(table.requests) == quarantine.MAX_QUARANTINED_REQUESTS
     # The one that was found last is there, the first are not.
-    assert f'bad-{2 * quarantine.KEPT_REQUESTS - 1}' in table
+    assert f'bad-{2 * quarantine.MAX_QUARANTINED_REQUESTS - 1}' in table
     assert 'bad-0' not in table
-    assert len(body['crashes']) == quarantine.KEPT_CRASHES
+    assert len(body['crashes']) == quarantine.MAX_STORED_CRASHES
     most = max(len(suspects) for _, _, suspects in body['crashes'])
-    assert most == quarantine.KEPT_SUSPECTS
+    assert most == quarantine.MAX_SUSPECTS_PER_CRASH
 
 
 def test_a_table_is_the_same_after_a_snapshot():
@@ -146,7 +146,7 @@
     again = quarantine.Quarantine()
     again.load(json.loads(json.dumps(table.dump())))
     assert again.dump() == table.dump()
-    assert again.trials('bad') == 1
+    assert again.trial_count('bad') == 1
 
 
 @pytest.mark.parametrize('seed', range(20))
