--- a/limpetroute/border/place_bodies.py
+++ b/limpetroute/border/placement_bodies.py
@@ -6,7 +6,7 @@
 from limpetroute.routing import placement
 
 
-class AskBody(strict_model.StrictModel):
+class PlacementRequestBody(strict_model.StrictModel):
     """See `PlacementRequest`."""
 
     request_id: str
@@ -28,12 +28,12 @@
     pause_target_s: float | None = None
     silence_s: float = placement.USUAL_SILENCE_S
 
-    def ask(self) -> placement.PlacementRequest:
+    def to_request(self) -> placement.PlacementRequest:
         """Return what it says."""
         return placement.PlacementRequest(**self.model_dump())
 
 
-class EndBody(strict_model.StrictModel):
+class ReleaseBody(strict_model.StrictModel):
     """See `Release`."""
 
     service: str
@@ -45,7 +45,7 @@
     full: tuple[str, ...] = ()
     whole: bool = False
 
-    def end(self) -> placement.Release:
+    def to_release(self) -> placement.Release:
         """Return what it says."""
         return placement.Release(
             request_id=self.request_id,
@@ -58,7 +58,7 @@
         )
 
 
-class ReadBody(strict_model.StrictModel):
+class PrefillDoneBody(strict_model.StrictModel):
     """A prompt was read apart for the place of this attempt."""
 
     service: str
@@ -75,14 +75,14 @@
     took_s: pydantic.NonNegativeFloat
 
 
-class HeldPlaceBody(strict_model.StrictModel):
+class ReservationBody(strict_model.StrictModel):
     """A place that an entry host holds."""
 
     decode_id: str
     prefill_id: str
-    asked: AskBody
+    asked: PlacementRequestBody
 
-    def place(self) -> placement.Placement:
+    def to_placement(self) -> placement.Placement:
         """Return the place."""
         return placement.Placement(
             request_id=self.asked.request_id,
@@ -91,7 +91,7 @@
         )
 
 
-class HeldBody(strict_model.StrictModel):
+class ReservationsBody(strict_model.StrictModel):
     """All places that an entry host holds."""
 
-    held: list[HeldPlaceBody]
+    held: list[ReservationBody]
--- a/limpetroute/dispatch/place_handlers.py
+++ b/limpetroute/dispatch/place_handlers.py
@@ -9,7 +9,7 @@
 from limpetroute.border import errors
 from limpetroute.border import forecast_header
 from limpetroute.border import limit_bodies
-from limpetroute.border import place_bodies
+from limpetroute.border import placement_bodies
 from limpetroute.dispatch import dispatcher as dispatcher_module
 from limpetroute.routing import placement
 from limpetroute.telemetry import boot_clock
@@ -41,11 +41,13 @@
 
     async def post(self) -> None:
         """Answer with a place, a refusal, or that this host cannot say."""
-        asked = self.parse(place_bodies.AskBody)
+        asked = self.parse(placement_bodies.PlacementRequestBody)
         if asked is None:
             return
-        assert isinstance(asked, place_bodies.AskBody)
-        self._task = asyncio.create_task(self.dispatcher.place(asked.ask()))
+        assert isinstance(asked, placement_bodies.PlacementRequestBody)
+        self._task = asyncio.create_task(
+            self.dispatcher.place(asked.to_request())
+        )
         try:
             answer = await self._task
         except asyncio.CancelledError:
@@ -75,11 +77,11 @@
 
     def post(self) -> None:
         """Take a place back."""
-        body = self.parse(place_bodies.EndBody)
+        body = self.parse(placement_bodies.ReleaseBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.EndBody)
-        self.dispatcher.end(body.service, body.end())
+        assert isinstance(body, placement_bodies.ReleaseBody)
+        self.dispatcher.end(body.service, body.to_release())
         self.set_status(204)
 
 
@@ -88,10 +90,10 @@
 
     def post(self) -> None:
         """Take note that a prompt was read apart."""
-        body = self.parse(place_bodies.ReadBody)
+        body = self.parse(placement_bodies.PrefillDoneBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.ReadBody)
+        assert isinstance(body, placement_bodies.PrefillDoneBody)
         self.dispatcher.read(body.service, body.request_id, body.attempt)
         self.set_status(204)
 
@@ -101,10 +103,10 @@
 
     def post(self) -> None:
         """Take note of the first event after a decode runner's reading."""
-        body = self.parse(place_bodies.FirstEventBody)
+        body = self.parse(placement_bodies.FirstEventBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.FirstEventBody)
+        assert isinstance(body, placement_bodies.FirstEventBody)
         self.dispatcher.first_event(
             body.service, body.request_id, body.attempt, body.took_s
         )
@@ -116,12 +118,12 @@
 
     def post(self) -> None:
         """Take note of the places that an entry host holds."""
-        body = self.parse(place_bodies.HeldBody)
+        body = self.parse(placement_bodies.ReservationsBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.HeldBody)
+        assert isinstance(body, placement_bodies.ReservationsBody)
         for one in body.held:
-            self.dispatcher.adopt(one.place(), one.asked.ask())
+            self.dispatcher.adopt(one.to_placement(), one.asked.to_request())
         self.set_status(204)
 
 
--- a/tests/forwarding/test_scheduler_client.py
+++ b/tests/forwarding/test_scheduler_client.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from limpetroute.border import place_bodies
+from limpetroute.border import placement_bodies
 from limpetroute.forwarding import scheduler_client
 from limpetroute.routing import placement
 from limpetroute.wire import call_failed
@@ -78,7 +78,7 @@
         return [body for kind, body in leader.calls if kind == 'first-event']
 
     (body,) = asyncio.run(work())
-    assert place_bodies.FirstEventBody(**body).took_s == 0.2
+    assert placement_bodies.FirstEventBody(**body).took_s == 0.2
 
 
 def test_each_ask_for_a_place_has_a_number_of_its_own():
