--- a/limpetroute/dispatch/placement_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -9,7 +9,7 @@
 from limpetroute.border import errors
 from limpetroute.border import forecast_header
 from limpetroute.border import limit_bodies
-from limpetroute.border import place_bodies
+from limpetroute.border import placement_bodies
 from limpetroute.dispatch import dispatcher as dispatcher_module
 from limpetroute.routing import placement
 from limpetroute.telemetry import boot_clock
@@ -41,12 +41,12 @@
 
     async def post(self) -> None:
         """Answer with a place, a refusal, or that this host cannot say."""
-        asked = self.parse(place_bodies.AskBody)
+        asked = self.parse(placement_bodies.PlacementRequestBody)
         if asked is None:
             return
-        assert isinstance(asked, place_bodies.AskBody)
+        assert isinstance(asked, placement_bodies.PlacementRequestBody)
         self._task = asyncio.create_task(
-            self.dispatcher.request_placement(asked.ask())
+            self.dispatcher.request_placement(asked.to_request())
         )
         try:
             answer = await self._task
@@ -77,11 +77,11 @@
 
     def post(self) -> None:
         """Take a place back."""
-        body = self.parse(place_bodies.EndBody)
+        body = self.parse(placement_bodies.ReleaseBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.EndBody)
-        self.dispatcher.release(body.service, body.end())
+        assert isinstance(body, placement_bodies.ReleaseBody)
+        self.dispatcher.release(body.service, body.to_release())
         self.set_status(204)
 
 
@@ -90,10 +90,10 @@
 
     def post(self) -> None:
         """Take note that a prompt was read apart."""
-        body = self.parse(place_bodies.ReadBody)
+        body = self.parse(placement_bodies.PrefillDoneBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.ReadBody)
+        assert isinstance(body, placement_bodies.PrefillDoneBody)
         self.dispatcher.note_prefill_done(
             body.service, body.request_id, body.attempt
         )
@@ -105,10 +105,10 @@
 
     def post(self) -> None:
         """Take note of the first event after a decode runner's reading."""
-        body = self.parse(place_bodies.FirstEventBody)
+        body = self.parse(placement_bodies.FirstEventBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.FirstEventBody)
+        assert isinstance(body, placement_bodies.FirstEventBody)
         self.dispatcher.note_first_event(
             body.service, body.request_id, body.attempt, body.took_s
         )
@@ -120,12 +120,12 @@
 
     def post(self) -> None:
         """Take note of the places that an entry host holds."""
-        body = self.parse(place_bodies.HeldBody)
+        body = self.parse(placement_bodies.ReservationsBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.HeldBody)
+        assert isinstance(body, placement_bodies.ReservationsBody)
         for one in body.held:
-            self.dispatcher.restore(one.place(), one.asked.ask())
+            self.dispatcher.restore(one.to_placement(), one.asked.to_request())
         self.set_status(204)
 
 
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -12,7 +12,7 @@
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.routing import next_step
-from limpetroute.routing import plain_choice
+from limpetroute.routing import plain_runner_choice
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
 from limpetroute.routing import send_history
@@ -86,7 +86,7 @@
             step = await self._send(runner)
             if step is next_step.Step.RELAY:
                 return
-            if step is not next_step.Step.AGAIN:
+            if step is not next_step.Step.RETRY:
                 await self._end(step, 'after a send')
                 return
 
@@ -98,7 +98,7 @@
         )
 
     async def _end_without_runner(self) -> None:
-        wait_s = plain_choice.limit_wait_s(
+        wait_s = plain_runner_choice.limit_wait_s(
             self._context.view.runners(self._service),
             loads=self._context.view.loads,
             tried=self._tried,
@@ -111,7 +111,7 @@
 
     def _choose(self) -> runner_info.RunnerInfo | None:
         context = self._context
-        return plain_choice.choose(
+        return plain_runner_choice.choose(
             context.view.runners(self._service),
             loads=context.view.loads,
             zone=context.zone,
@@ -177,8 +177,8 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            left_s=self._context.left_s(self._request, self._route),
-            may_go_on=self._may_go_on,
+            remaining_s=self._context.left_s(self._request, self._route),
+            can_retry=self._may_go_on,
         )
 
     def _may_go_on(self) -> bool:
@@ -199,7 +199,7 @@
             request=self._request,
             route=self._route,
             responder=self._responder,
-            step=self._history.truly(step),
+            step=self._history.final_step(step),
             reason=reason,
             retry_after_s=retry_after_s,
         )
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -139,8 +139,8 @@
                 no_readers = {
                     one
                     for one in no_readers
-                    if self._outliers.seemed_gone_s(one, now_s)
+                    if self._outliers.runner_gone_s(one, now_s)
                 }
             else:
                 no_readers = set()
-        return no_decoders, no_readers | self._limits.spent(readers, now_s)
+        return no_decoders, no_readers | self._limits.exhausted(readers, now_s)
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -12,9 +12,9 @@
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
 from limpetroute.routing import room_probe
-from limpetroute.routing import runner_choice
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_limits
+from limpetroute.routing import runner_selector
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
 from limpetroute.routing import stage_split
@@ -171,7 +171,7 @@
         """
         self._reservations.forget_runner(runner_id)
         self._prefill.forget_runner(runner_id)
-        self._outliers.forget(runner_id)
+        self._outliers.reset(runner_id)
 
     def ask(self, ask: placement.PlacementRequest, now_s: float) -> None:
         """Take a stream; `decide` tells what it gets.
@@ -213,7 +213,7 @@
         """Take note that a prompt was read apart."""
         reader_id = self._prefill.done(request_id, attempt, now_s)
         if reader_id is not None:
-            self._outliers.went_well(reader_id)
+            self._outliers.note_success(reader_id)
 
     def end(self, end: placement.Release, now_s: float) -> None:
         """Take a place back and learn from how the stream went."""
@@ -223,14 +223,16 @@
             self._admission.released(now_s)
         for runner_id in end.full:
             seen = self._reservations.streams(runner_id)
-            self._outliers.full(runner_id, self._engine.slots - seen, now_s)
+            self._outliers.note_full(
+                runner_id, self._engine.slots - seen, now_s
+            )
         for runner_id in end.failed:
-            self._outliers.failed(runner_id, now_s)
+            self._outliers.note_failure(runner_id, now_s)
         if place is not None and end.whole and not end.failed:
             # One that its caller gave up says nothing of the runner. Of the
             # reader none does: its part was over seconds ago, and it may
             # be gone since.
-            self._outliers.went_well(place.decode_id)
+            self._outliers.note_success(place.decode_id)
 
     def adopt(
         self,
@@ -297,7 +299,7 @@
         self._fleet.update(now_s)
         freed = self._fleet.by_room(self._reservations.take_freed())
         most_checks = self._decode_placement.room_checks + MOST_ROOM_CHECKS
-        choice = runner_choice.RunnerChoice(
+        choice = runner_selector.RunnerSelector(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
             fleet=self._fleet,
@@ -335,27 +337,27 @@
     def _place(
         self,
         one: waiting_stream.WaitingStream,
-        chosen: runner_choice.Chosen,
+        chosen: runner_selector.ChosenRunners,
         now_s: float,
     ) -> placement.Placement:
         if self._in_time(one, now_s):
             self._in_time_in_a_row += 1
         else:
             self._in_time_in_a_row = 0
-        reader = chosen.reader
+        reader = chosen.prefill_runner
         expected = self._forecast(one, chosen, now_s)
         place = placement.Placement(
             request_id=one.request_id,
-            decode_id=chosen.decoder.runner_id,
+            decode_id=chosen.decode_runner.runner_id,
             prefill_id=reader.runner_id if reader else '',
             forecast=expected,
         )
-        self._limits.take(chosen.decoder.runner_id, now_s)
+        self._limits.take(chosen.decode_runner.runner_id, now_s)
         if reader is not None:
             self._limits.take(reader.runner_id, now_s)
         self._waiting.remove(one.request_id)
         self._admission.served(one.ask, now_s)
-        self._prefill.take(one.ask, reader, chosen.decoder, now_s)
+        self._prefill.take(one.ask, reader, chosen.decode_runner, now_s)
         if reader is None and self._prefill.is_long(one.ask):
             self._reservations.note_long_pause(place.decode_id)
         self._reservations.add(
@@ -371,17 +373,19 @@
     def _forecast(
         self,
         one: waiting_stream.WaitingStream,
-        chosen: runner_choice.Chosen,
+        chosen: runner_selector.ChosenRunners,
         now_s: float,
     ) -> forecast.Forecast:
-        decode_id = chosen.decoder.runner_id
+        decode_id = chosen.decode_runner.runner_id
         return forecast.Forecast(
             queued_s=now_s - one.sent_s - one.ask.waited_s,
             first_event_s=chosen.ready_s - one.sent_s,
             in_time=one.is_on_time(chosen.ready_s),
             beside=self._reservations.streams(decode_id),
-            pause_s=self._prefill.pause_beside_s(one.ask, chosen.reader),
-            read_tokens_per_s=self._prefill.speed(chosen.reader),
+            pause_s=self._prefill.pause_beside_s(
+                one.ask, chosen.prefill_runner
+            ),
+            read_tokens_per_s=self._prefill.speed(chosen.prefill_runner),
         )
 
     # Rejection
