--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class SendNote:
+class SendOptions:
     """What a runner is told beside the caller's own request.
 
     Parameters
@@ -65,7 +65,7 @@
         """Decode a caller's request."""
 
     def runner_headers(
-        self, request: caller_request.CallerRequest, note: SendNote
+        self, request: caller_request.CallerRequest, note: SendOptions
     ) -> httputil.HTTPHeaders:
         """Return the headers for a runner."""
 
--- a/limpetroute/forwarding/prompt_reading.py
+++ b/limpetroute/forwarding/prompt_reading.py
@@ -103,7 +103,7 @@
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
         left_s = context.left_s(self._request, self._route)
         limit_s = READING_SLACK_S + tokens / SLOWEST_TOKENS_PER_S
-        note = dialect_module.SendNote(
+        note = dialect_module.SendOptions(
             left_s=min(left_s, limit_s),
             runner_id=runner.runner_id,
             prefill_only=True,
--- a/limpetroute/forwarding/runner_call.py
+++ b/limpetroute/forwarding/runner_call.py
@@ -79,7 +79,7 @@
     async def open(
         self,
         request: caller_request.CallerRequest,
-        note: dialect_module.SendNote,
+        note: dialect_module.SendOptions,
     ) -> SendFailure | None:
         """Send the request and return once usable headers are here."""
         failed = await self._link.send(
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -273,7 +273,7 @@
             )
         runner = call.runner
         self._tried.add(runner.runner_id)
-        note = dialect_module.SendNote(
+        note = dialect_module.SendOptions(
             left_s=context.left_s(self._request, self._route),
             runner_id=runner.runner_id,
             kv_source=source.source if source else None,
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -53,7 +53,7 @@
         )
 
     def runner_headers(
-        self, request: caller_request.CallerRequest, note: dialect.SendNote
+        self, request: caller_request.CallerRequest, note: dialect.SendOptions
     ) -> httputil.HTTPHeaders:
         """Return the headers for a runner."""
         headers = _without(
