--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -45,7 +45,7 @@
         Event to go on after; None for what the caller asked.
     """
 
-    left_s: float
+    remaining_s: float
     runner_id: str
     prefill_only: bool = False
     kv_source: KvSource | None = None
