--- a/limpetroute/forwarding/caller_request.py
+++ b/limpetroute/forwarding/caller_request.py
@@ -70,7 +70,7 @@
     headers: httputil.HTTPHeaders
     body: bytes
     received_s: float
-    patience_s: float | None
+    deadline_s: float | None
     generation: Generation | None
     resume_after: str
     caller: str = ''
--- a/tests/platform/test_http_dialect.py
+++ b/tests/platform/test_http_dialect.py
@@ -22,7 +22,7 @@
         Last_Event_Id='4',
         Prompt_Prefix='5c1e07a2:800,91bd3f06:410,e4402b7d:250',
     )
-    assert (request.request_id, request.patience_s) == ('q', 1.5)
+    assert (request.request_id, request.deadline_s) == ('q', 1.5)
     assert request.path == '/a/b'
     assert request.generation.prompt_tokens == 1460
     assert request.generation.max_output_tokens == 80
@@ -33,7 +33,7 @@
 
 def test_what_cannot_be_read_counts_as_absent():
     request = read(Deadline_Ms='soon', Token_Usage='many')
-    assert request.patience_s is None
+    assert request.deadline_s is None
     assert request.generation is None
     request = read(Token_Usage='5,6')
     assert request.generation.prompt_id == ''
