--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -69,7 +69,7 @@
     ) -> httputil.HTTPHeaders:
         """Return the headers for a runner."""
 
-    def refused(self, status: int, headers: httputil.HTTPHeaders) -> bool:
+    def is_refusal(self, status: int, headers: httputil.HTTPHeaders) -> bool:
         """Return whether a runner proves that it did not run a request."""
 
     def misdirected(self, status: int) -> bool:
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -73,7 +73,7 @@
             headers[header_names.LAST_EVENT_ID] = note.resume_after
         return headers
 
-    def refused(self, status: int, headers: httputil.HTTPHeaders) -> bool:
+    def is_refusal(self, status: int, headers: httputil.HTTPHeaders) -> bool:
         """Return whether a runner proves that it did not run a request."""
         return header_names.NOT_RUN in headers or status == HTTP_MISDIRECTED
 
--- a/tests/platform/test_http_dialect.py
+++ b/tests/platform/test_http_dialect.py
@@ -58,7 +58,7 @@
 def test_only_a_runners_own_word_proves_that_it_did_not_run():
     known = http_dialect.HttpDialect()
     proof = httputil.HTTPHeaders({'Not-Run': '1'})
-    assert known.refused(503, proof)
-    assert known.refused(421, httputil.HTTPHeaders())
+    assert known.is_refusal(503, proof)
+    assert known.is_refusal(421, httputil.HTTPHeaders())
     for status in (429, 500, 502, 503, 504):
-        assert not known.refused(status, httputil.HTTPHeaders())
+        assert not known.is_refusal(status, httputil.HTTPHeaders())
