--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -72,7 +72,7 @@
     def is_refusal(self, status: int, headers: httputil.HTTPHeaders) -> bool:
         """Return whether a runner proves that it did not run a request."""
 
-    def misdirected(self, status: int) -> bool:
+    def is_misdirected(self, status: int) -> bool:
         """Return whether another runner than the one meant answers."""
 
     def rate_limit_text(self, headers: httputil.HTTPHeaders) -> str | None:
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -77,7 +77,7 @@
         """Return whether a runner proves that it did not run a request."""
         return header_names.NOT_RUN in headers or status == HTTP_MISDIRECTED
 
-    def misdirected(self, status: int) -> bool:
+    def is_misdirected(self, status: int) -> bool:
         """Return whether another runner than the one meant answers."""
         return status == HTTP_MISDIRECTED
 
