--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -82,7 +82,7 @@
         long as its answers say so; None where it names none.
         """
 
-    def belongs(
+    def belongs_to(
         self,
         request: caller_request.CallerRequest,
         headers: httputil.HTTPHeaders,
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -85,7 +85,7 @@
         """Return the limit that a runner names, as it wrote it."""
         return headers.get(header_names.SERVER_LIMIT)
 
-    def belongs(
+    def belongs_to(
         self,
         request: caller_request.CallerRequest,
         headers: httputil.HTTPHeaders,
