--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -94,7 +94,7 @@
     ) -> httputil.HTTPHeaders:
         """Return what of a runner's headers the caller gets."""
 
-    def own_headers(
+    def local_reply_headers(
         self, request: caller_request.CallerRequest
     ) -> httputil.HTTPHeaders:
         """Return the headers of an answer of this host's own."""
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -100,7 +100,7 @@
         """Return what of a runner's headers the caller gets."""
         return _without(headers, header_names.HOP_BY_HOP)
 
-    def own_headers(
+    def local_reply_headers(
         self, request: caller_request.CallerRequest
     ) -> httputil.HTTPHeaders:
         """Return the headers of an answer of this host's own."""
