--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -82,7 +82,7 @@
         if leader_url and self._held:
             self._aside(self._tell_held())
 
-    async def ask(self, ask: placement.PlacementRequest) -> Answer:
+    async def request_placement(self, request_placement: placement.PlacementRequest) -> Answer:
         """Return a stream's place, once there is one."""
         if not self._leader_url:
             return NoScheduler(reason='no leader is known')
@@ -92,17 +92,17 @@
             got = await self._http.call(
                 method='POST',
                 url=f'{self._leader_url}/v1/places',
-                body=dataclasses.asdict(ask),
-                timeout_s=_answer_due_s(ask) + ASK_MARGIN_S,
+                body=dataclasses.asdict(request_placement),
+                timeout_s=_answer_due_s(request_placement) + ASK_MARGIN_S,
                 connect_tries_s=CONNECT_TRIES_S,
             )
         except asyncio.CancelledError:
             # The place may have been given just now; the answer that
             # names it is lost with this call.
             self.end(
-                ask.service,
+                request_placement.service,
                 placement.Release(
-                    request_id=ask.request_id, attempt=ask.attempt
+                    request_id=request_placement.request_id, attempt=request_placement.attempt
                 ),
                 known=False,
             )
@@ -127,7 +127,7 @@
             )
         except (ValueError, TypeError) as exc:
             return NoScheduler(reason=str(exc))
-        self.note(place, ask)
+        self.note(place, request_placement)
         return place
 
     def note(
