--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -99,7 +99,7 @@
         except asyncio.CancelledError:
             # The place may have been given just now; the answer that
             # names it is lost with this call.
-            self.end(
+            self.release(
                 request_placement.service,
                 placement.Release(
                     request_id=request_placement.request_id, attempt=request_placement.attempt
@@ -154,7 +154,7 @@
         """Return a number that tells one ask for a place from others."""
         return next(self._attempts)
 
-    def end(
+    def release(
         self, service: str, end: placement.Release, *, known: bool = True
     ) -> None:
         """Give a place back; nobody waits for that."""
