--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -163,7 +163,7 @@
         if self._leader_url:
             self._aside(self._tell_end(service, end))
 
-    def read(self, service: str, request_id: str, attempt: int) -> None:
+    def note_prefill_done(self, service: str, request_id: str, attempt: int) -> None:
         """Tell that a prompt was read apart; nobody waits for that."""
         if self._leader_url and request_id in self._held:
             self._aside(self._tell_read(service, request_id, attempt))
