--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -168,7 +168,7 @@
         if self._leader_url and request_id in self._held:
             self._aside(self._tell_read(service, request_id, attempt))
 
-    def first_event(
+    def note_first_event(
         self, service: str, request_id: str, attempt: int, took_s: float
     ) -> None:
         """Tell that a decode runner has read a prompt itself."""
--- a/tests/forwarding/test_scheduler_client.py
+++ b/tests/forwarding/test_scheduler_client.py
@@ -72,8 +72,8 @@
         client = scheduler_client.SchedulerClient(http=leader)
         client.follow('http://127.0.0.1:1')
         await client.ask(builders.make_ask('held', attempt=3))
-        client.first_event('model', 'held', 3, 0.2)
-        client.first_event('model', 'unknown', 1, 0.2)
+        client.note_first_event('model', 'held', 3, 0.2)
+        client.note_first_event('model', 'unknown', 1, 0.2)
         await asyncio.sleep(0)
         return [body for kind, body in leader.calls if kind == 'first-event']
 
