--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -138,7 +138,7 @@
             place=place, ask=ask, since_s=_now_s()
         )
 
-    def note_own(
+    def note_local_placement(
         self, place: placement.Placement, ask: placement.PlacementRequest
     ) -> None:
         """Take note of a place that this host gave itself.
--- a/tests/forwarding/test_scheduler_client.py
+++ b/tests/forwarding/test_scheduler_client.py
@@ -46,11 +46,11 @@
     async def work():
         leader = Leader()
         client = scheduler_client.SchedulerClient(http=leader)
-        client.note_own(own_place('own'), builders.make_ask('own'))
+        client.note_local_placement(own_place('own'), builders.make_ask('own'))
         client.follow('http://127.0.0.1:1')
         await asyncio.sleep(0)
         leader.calls.clear()
-        client.note_own(own_place('two'), builders.make_ask('two'))
+        client.note_local_placement(own_place('two'), builders.make_ask('two'))
         await client.ask(builders.make_ask('asked'))
         await asyncio.sleep(0)
         told = [body for kind, body in leader.calls if kind == 'held']
