--- a/limpetroute/forwarding/caller_request.py
+++ b/limpetroute/forwarding/caller_request.py
@@ -53,7 +53,7 @@
         The whole body.
     received_s : float
         When its headers were read, by the event loop's clock.
-    patience_s : float or None
+    deadline_s : float or None
         How long the caller waits, counted from ``received_s``.
     generation : Generation or None
         None for a plain request.
--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    left_s : float
+    remaining_s : float
         Time left for the answer.
     runner_id : str
         The runner that is meant; another one at its address refuses.
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -126,8 +126,8 @@
     ) -> float:
         """Return the time left for an answer, at least 0."""
         whole_s = route.timeout_s
-        if request.patience_s is not None:
-            whole_s = min(whole_s, request.patience_s)
+        if request.deadline_s is not None:
+            whole_s = min(whole_s, request.deadline_s)
         spent_s = asyncio.get_running_loop().time() - request.received_s
         return max(0.0, whole_s - spent_s)
 
@@ -182,7 +182,7 @@
 
     def note_answer_of(self, call: runner_call.RunnerCall) -> None:
         """Take note of the limit that a runner's answer names."""
-        if not call.status or self.dialect.misdirected(call.status):
+        if not call.status or self.dialect.is_misdirected(call.status):
             return
         self.limits.note_answer(
             call.runner, self.dialect.rate_limit_text(call.headers)
--- a/limpetroute/forwarding/forwarder.py
+++ b/limpetroute/forwarding/forwarder.py
@@ -96,7 +96,7 @@
         loop = asyncio.get_running_loop()
         limit_s = start_wait.longest_wait_s(
             age_s=loop.time() - self._started_s,
-            patience_s=request.patience_s,
+            patience_s=request.deadline_s,
         )
         until_s = request.received_s + limit_s
         while self._context.view.plan is None and loop.time() < until_s:
--- a/limpetroute/forwarding/own_answer.py
+++ b/limpetroute/forwarding/own_answer.py
@@ -69,7 +69,7 @@
     retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
     """Answer with a status of this host's own and say why."""
-    headers = context.dialect.own_headers(request)
+    headers = context.dialect.local_reply_headers(request)
     headers['Content-Type'] = 'application/json'
     if status == HTTP_UNAVAILABLE:
         headers['Retry-After'] = f'{retry_after_s:.3f}'.rstrip('0')
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -92,7 +92,7 @@
         begun_s = _now_s()
         while True:
             ask = self._ask(so_far, waited_here_s=_now_s() - begun_s)
-            answer = await self._context.places.ask(ask)
+            answer = await self._context.places.request_placement(ask)
             if isinstance(answer, placement.Rejection):
                 return answer
             if isinstance(answer, placement.Placement):
@@ -113,13 +113,13 @@
 
     def note_read(self) -> None:
         """Tell whoever gave the places that the prompt was read."""
-        self._context.places.read(
+        self._context.places.note_prefill_done(
             self._service.name, self._request.request_id, self._attempt
         )
 
     def note_first_event(self, sent_s: float) -> None:
         """Tell that the decode runner has read what it was sent then."""
-        self._context.places.first_event(
+        self._context.places.note_first_event(
             self._service.name,
             self._request.request_id,
             self._attempt,
@@ -136,7 +136,7 @@
         whole: bool = False,
     ) -> None:
         """Give back what is held, with what was measured."""
-        self._context.places.end(
+        self._context.places.release(
             self._service.name,
             placement.Release(
                 request_id=self._request.request_id,
@@ -236,7 +236,7 @@
                 retry_after_s=1.0,
                 reason='no room known',
             )
-        context.places.note_own(
+        context.places.note_local_placement(
             placement.Placement(
                 request_id=ask.request_id,
                 decode_id=decode.runner_id,
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -128,7 +128,7 @@
         load = context.view.load(runner.runner_id)
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
         note = dialect_module.SendOptions(
-            left_s=context.left_s(self._request, self._route),
+            remaining_s=context.left_s(self._request, self._route),
             runner_id=runner.runner_id,
         )
         load.requests += 1
--- a/limpetroute/forwarding/prompt_reading.py
+++ b/limpetroute/forwarding/prompt_reading.py
@@ -104,7 +104,7 @@
         left_s = context.left_s(self._request, self._route)
         limit_s = READING_SLACK_S + tokens / SLOWEST_TOKENS_PER_S
         note = dialect_module.SendOptions(
-            left_s=min(left_s, limit_s),
+            remaining_s=min(left_s, limit_s),
             runner_id=runner.runner_id,
             prefill_only=True,
         )
@@ -167,7 +167,7 @@
             )
 
     async def _free(self, reading: Reading) -> None:
-        what = self._context.dialect.free_handle(
+        what = self._context.dialect.free_handle_call(
             reading.source.handle, reading.runner.runner_id
         )
         got = await caller.Caller().call(
--- a/limpetroute/forwarding/runner_call.py
+++ b/limpetroute/forwarding/runner_call.py
@@ -87,21 +87,21 @@
             path=request.target,
             headers=self._dialect.runner_headers(request, note),
             body=request.body,
-            timeout_s=max(note.left_s, 0.001),
+            timeout_s=max(note.remaining_s, 0.001),
             connect_tries_s=CONNECT_TRIES_S,
         )
         if failed is not None:
             return SendFailure(result=_result(failed), detail=failed.detail)
-        if self._dialect.refused(self.status, self.headers):
+        if self._dialect.is_refusal(self.status, self.headers):
             self.close()
             result = send_result.SendResult.REFUSED
-            if self._dialect.misdirected(self.status):
+            if self._dialect.is_misdirected(self.status):
                 result = send_result.SendResult.MISDIRECTED
             return SendFailure(
                 result=result,
                 detail=f'status {self.status}',
             )
-        if not self._dialect.belongs(request, self.headers):
+        if not self._dialect.belongs_to(request, self.headers):
             # A late second answer to another request; passed on, one
             # caller would read what is another's.
             self.close()
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -274,7 +274,7 @@
         runner = call.runner
         self._tried.add(runner.runner_id)
         note = dialect_module.SendOptions(
-            left_s=context.left_s(self._request, self._route),
+            remaining_s=context.left_s(self._request, self._route),
             runner_id=runner.runner_id,
             kv_source=source.source if source else None,
             resume_after=self._relay.last_id or None,
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -42,7 +42,7 @@
             headers=headers,
             body=body,
             received_s=received_s,
-            patience_s=_seconds(headers.get(header_names.DEADLINE_MS)),
+            deadline_s=_seconds(headers.get(header_names.DEADLINE_MS)),
             generation=_generation(
                 headers.get(header_names.TOKEN_USAGE),
                 headers.get(header_names.LENGTH_HINT),
@@ -61,7 +61,7 @@
             (*header_names.HOP_BY_HOP, *header_names.SYSTEM_ONLY),
         )
         headers.pop('Content-Length', None)
-        left_ms = max(1, int(note.left_s * MILLIS))
+        left_ms = max(1, int(note.remaining_s * MILLIS))
         headers[header_names.DEADLINE_MS] = str(left_ms)
         headers[header_names.EXPECT_INSTANCE] = note.runner_id
         if note.prefill_only:
--- a/tests/dispatch/test_place_handlers.py
+++ b/tests/dispatch/test_place_handlers.py
@@ -72,7 +72,7 @@
     async def work(url):
         client = scheduler_client.SchedulerClient(http=caller.Caller())
         client.follow(url)
-        return await client.ask(builders.make_ask('s'))
+        return await client.request_placement(builders.make_ask('s'))
 
     assert with_leader(work).forecast == EXPECTED
 
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -48,7 +48,7 @@
         headers={},
         body=body,
         received_s=0.0,
-        patience_s=None,
+        deadline_s=None,
         generation=None,
         resume_after='',
     )
--- a/tests/forwarding/test_scheduler_client.py
+++ b/tests/forwarding/test_scheduler_client.py
@@ -51,10 +51,10 @@
         await asyncio.sleep(0)
         leader.calls.clear()
         client.note_local_placement(own_place('two'), builders.make_ask('two'))
-        await client.ask(builders.make_ask('asked'))
+        await client.request_placement(builders.make_ask('asked'))
         await asyncio.sleep(0)
         told = [body for kind, body in leader.calls if kind == 'held']
-        await client.ask(builders.make_ask('more'))
+        await client.request_placement(builders.make_ask('more'))
         await asyncio.sleep(0)
         again = [body for kind, body in leader.calls if kind == 'held']
         return told, again
@@ -71,7 +71,7 @@
         leader = Leader()
         client = scheduler_client.SchedulerClient(http=leader)
         client.follow('http://127.0.0.1:1')
-        await client.ask(builders.make_ask('held', attempt=3))
+        await client.request_placement(builders.make_ask('held', attempt=3))
         client.note_first_event('model', 'held', 3, 0.2)
         client.note_first_event('model', 'unknown', 1, 0.2)
         await asyncio.sleep(0)
@@ -109,7 +109,7 @@
         client.note(own_place('own'), builders.make_ask('own'))
         client.follow('http://127.0.0.1:1')
         await asyncio.sleep(0)
-        await client.ask(builders.make_ask('asked'))
+        await client.request_placement(builders.make_ask('asked'))
         await asyncio.sleep(0)
         return [body for kind, body in leader.calls if kind == 'held']
 
--- a/tests/platform/test_http_dialect.py
+++ b/tests/platform/test_http_dialect.py
@@ -46,7 +46,7 @@
         X_Kept='2',
         Transfer_Encoding='chunked',
     )
-    note = dialect.SendOptions(left_s=1.25, runner_id='i-1')
+    note = dialect.SendOptions(remaining_s=1.25, runner_id='i-1')
     headers = http_dialect.HttpDialect().runner_headers(request, note)
     assert headers['X-Kept'] == '2'
     assert 'X-Once' not in headers
