--- a/limpetroute/forwarding/side_port.py
+++ b/limpetroute/forwarding/admin_server.py
@@ -28,7 +28,7 @@
         self.finish(self._text() or b'')
 
 
-class SidePort:
+class AdminServer:
     """Readiness for the balancer, and metrics.
 
     Parameters
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -12,7 +12,7 @@
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import fleet_view
 from limpetroute.forwarding import forward_meters
-from limpetroute.forwarding import limit_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import quarantine_client
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
@@ -67,7 +67,7 @@
         watch: control_watch.ControlWatch,
         places: scheduler_client.SchedulerClient,
         quarantine: quarantine_client.QuarantineClient,
-        limits: limit_client.LimitClient,
+        limits: rate_limit_client.RateLimitClient,
         dialect: dialect_module.Dialect,
         meters: forward_meters.ForwardMeters,
         zone: str,
--- a/limpetroute/forwarding/forwarder.py
+++ b/limpetroute/forwarding/forwarder.py
@@ -5,7 +5,7 @@
 
 from limpetroute.forwarding import caller_request
 from limpetroute.forwarding import forward_context
-from limpetroute.forwarding import own_answer
+from limpetroute.forwarding import local_reply
 from limpetroute.forwarding import plain_forward
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import stream_forward
@@ -66,24 +66,24 @@
         if plan is None:
             plan = await self._first_plan(request)
         if plan is None:
-            await own_answer.write_status(
+            await local_reply.write_status(
                 context,
                 request=request,
                 route=None,
                 responder=responder,
-                status=own_answer.HTTP_UNAVAILABLE,
+                status=local_reply.HTTP_UNAVAILABLE,
                 reason='no routes are known yet',
-                retry_after_s=own_answer.STARTING_RETRY_AFTER_S,
+                retry_after_s=local_reply.STARTING_RETRY_AFTER_S,
             )
             return
         route = plan.find(request.host, request.path)
         if route is None:
-            await own_answer.write_status(
+            await local_reply.write_status(
                 context,
                 request=request,
                 route=None,
                 responder=responder,
-                status=own_answer.HTTP_NOT_FOUND,
+                status=local_reply.HTTP_NOT_FOUND,
                 reason=f'no route in version {plan.version}',
             )
             return
@@ -147,7 +147,7 @@
             async with asyncio.timeout(whole_s):
                 await forward.run()
         except TimeoutError:
-            await own_answer.write(
+            await local_reply.write(
                 context,
                 request=request,
                 route=route,
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -260,7 +260,7 @@
     def _log_alone(
         self,
         ask: placement.PlacementRequest,
-        answer: scheduler_client.Answer,
+        answer: scheduler_client.PlacementResult,
         got: AssignedRunners | placement.Rejection,
     ) -> None:
         decode = (
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -7,7 +7,7 @@
 from limpetroute.forwarding import caller_request
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import forward_context
-from limpetroute.forwarding import own_answer
+from limpetroute.forwarding import local_reply
 from limpetroute.forwarding import quarantine_gate
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
@@ -93,7 +93,7 @@
     async def _refuse_quarantined(self) -> None:
         await self._end(
             next_step.Step.REFUSE,
-            own_answer.QUARANTINED,
+            local_reply.QUARANTINED,
             self._gate.retry_after_s,
         )
 
@@ -105,7 +105,7 @@
             now_s=_now_s(),
         )
         if wait_s:
-            await self._end(next_step.Step.REFUSE, own_answer.LIMITED, wait_s)
+            await self._end(next_step.Step.REFUSE, local_reply.LIMITED, wait_s)
             return
         await self._end(next_step.Step.REFUSE, 'no runner')
 
@@ -192,9 +192,9 @@
         self,
         step: next_step.Step,
         reason: str,
-        retry_after_s: float = own_answer.RETRY_AFTER_S,
+        retry_after_s: float = local_reply.RETRY_AFTER_S,
     ) -> None:
-        await own_answer.write(
+        await local_reply.write(
             self._context,
             request=self._request,
             route=self._route,
--- a/limpetroute/forwarding/prompt_reading.py
+++ b/limpetroute/forwarding/prompt_prefill.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Reading:
+class PrefilledPrompt:
     """A prompt's KV cache at a prefill runner, until it is taken."""
 
     runner: runner_info.RunnerInfo
@@ -37,7 +37,7 @@
     taken: bool = False
 
 
-class PromptReading:
+class PromptPrefill:
     """Has a prompt read by a prefill runner.
 
     Parameters
@@ -60,12 +60,12 @@
         self._context = context
         self._request = request
         self._route = route
-        self._reading: Reading | None = None
+        self._reading: PrefilledPrompt | None = None
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(reading={self._reading!r})'
 
-    async def read(self, runner: runner_info.RunnerInfo) -> Reading | None:
+    async def read(self, runner: runner_info.RunnerInfo) -> PrefilledPrompt | None:
         """Return where the KV cache is, or None if none was made.
 
         Without one, another place has to be asked for: whoever gives
@@ -97,7 +97,7 @@
 
     async def _call(
         self, runner: runner_info.RunnerInfo, tokens: int
-    ) -> Reading | None:
+    ) -> PrefilledPrompt | None:
         context = self._context
         begun_s = _now_s()
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
@@ -137,7 +137,7 @@
         )
         if failed is not None:
             return None
-        self._reading = Reading(
+        self._reading = PrefilledPrompt(
             runner=runner,
             source=dialect_module.KvSource(
                 address=runner.address, handle=handle
@@ -166,7 +166,7 @@
                 result=send_result.SendResult.BROKEN, detail=str(exc)
             )
 
-    async def _free(self, reading: Reading) -> None:
+    async def _free(self, reading: PrefilledPrompt) -> None:
         what = self._context.dialect.free_handle_call(
             reading.source.handle, reading.runner.runner_id
         )
--- a/limpetroute/forwarding/limit_client.py
+++ b/limpetroute/forwarding/rate_limit_client.py
@@ -38,7 +38,7 @@
     wait_s: float
 
 
-class LimitClient:
+class RateLimitClient:
     """Keeps what this host sends within the limits that runners name.
 
     The leader gives out a limited runner's requests one by one. Without a
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -28,13 +28,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class NoScheduler:
+class SchedulerUnavailable:
     """No leader could be asked."""
 
     reason: str
 
 
-Answer = placement.Placement | placement.Rejection | NoScheduler
+PlacementResult = placement.Placement | placement.Rejection | SchedulerUnavailable
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -82,12 +82,12 @@
         if leader_url and self._held:
             self._aside(self._tell_held())
 
-    async def request_placement(self, request_placement: placement.PlacementRequest) -> Answer:
+    async def request_placement(self, request_placement: placement.PlacementRequest) -> PlacementResult:
         """Return a stream's place, once there is one."""
         if not self._leader_url:
-            return NoScheduler(reason='no leader is known')
+            return SchedulerUnavailable(reason='no leader is known')
         if _now_s() < self._unreachable_until_s:
-            return NoScheduler(reason='the leader could not be reached')
+            return SchedulerUnavailable(reason='the leader could not be reached')
         try:
             got = await self._http.call(
                 method='POST',
@@ -110,7 +110,7 @@
         if isinstance(got, call_failed.CallFailed):
             if not got.sent:
                 self._unreachable_until_s = _now_s() + UNREACHABLE_S
-            return NoScheduler(reason=f'the leader: {got.kind.value}')
+            return SchedulerUnavailable(reason=f'the leader: {got.kind.value}')
         try:
             if got.ok and self._untold:
                 self._untold = False
@@ -118,7 +118,7 @@
             if got.status == HTTP_UNAVAILABLE:
                 return placement.Rejection(**got.json())
             if not got.ok:
-                return NoScheduler(reason=f'status {got.status}')
+                return SchedulerUnavailable(reason=f'status {got.status}')
             place = placement.Placement(
                 **got.json(),
                 forecast=forecast_header.decode(
@@ -126,7 +126,7 @@
                 ),
             )
         except (ValueError, TypeError) as exc:
-            return NoScheduler(reason=str(exc))
+            return SchedulerUnavailable(reason=str(exc))
         self.note(place, request_placement)
         return place
 
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -14,10 +14,10 @@
 from limpetroute.forwarding import forward_meters
 from limpetroute.forwarding import forwarder as forwarder_module
 from limpetroute.forwarding import front_server
-from limpetroute.forwarding import limit_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import quarantine_client
 from limpetroute.forwarding import scheduler_client
-from limpetroute.forwarding import side_port
+from limpetroute.forwarding import admin_server
 from limpetroute.routing import route_plan
 from limpetroute.routing import send_budget
 from limpetroute.telemetry import exports as exports_module
@@ -84,7 +84,7 @@
             on_leader=self._follow,
         )
         self._places = places
-        self._limits = limit_client.LimitClient(
+        self._limits = rate_limit_client.RateLimitClient(
             http=http,
             view=self.view,
             entry_hosts=lambda: self.watch.entry_hosts,
@@ -106,7 +106,7 @@
             forwarder=self.forwarder, dialect=dialect
         )
         self.view.on_plan = self._apply_limits
-        self._side = side_port.SidePort(
+        self._side = admin_server.AdminServer(
             ready_path=ready_path,
             is_ready=self.is_ready,
             metrics=self._exports.text,
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -7,9 +7,9 @@
 from limpetroute.forwarding import caller_request
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import forward_context
-from limpetroute.forwarding import own_answer
+from limpetroute.forwarding import local_reply
 from limpetroute.forwarding import placement_session
-from limpetroute.forwarding import prompt_reading
+from limpetroute.forwarding import prompt_prefill
 from limpetroute.forwarding import quarantine_gate
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
@@ -129,7 +129,7 @@
     async def _refuse_quarantined(self) -> None:
         await self._end(
             next_step.Step.REFUSE,
-            own_answer.QUARANTINED,
+            local_reply.QUARANTINED,
             self._gate.retry_after_s,
         )
 
@@ -189,7 +189,7 @@
         load = self._context.view.load(runner.runner_id)
         load.requests += 1
         load.tokens += self._tokens()
-        reading = prompt_reading.PromptReading(
+        reading = prompt_prefill.PromptPrefill(
             context=self._context, request=self._request, route=self._route
         )
         call = runner_call.RunnerCall(
@@ -258,7 +258,7 @@
     async def _decode(
         self,
         call: runner_call.RunnerCall,
-        source: prompt_reading.Reading | None,
+        source: prompt_prefill.PrefilledPrompt | None,
         places: placement_session.PlacementSession,
         expected: forecast.Forecast | None,
     ) -> next_step.Step:
@@ -354,7 +354,7 @@
         self,
         runner: runner_info.RunnerInfo,
         result: send_result.SendResult,
-        source: prompt_reading.Reading | None,
+        source: prompt_prefill.PrefilledPrompt | None,
         took_s: float,
     ) -> None:
         """Take note of what a send says of its runner."""
@@ -405,9 +405,9 @@
         self,
         step: next_step.Step,
         reason: str,
-        retry_after_s: float = own_answer.RETRY_AFTER_S,
+        retry_after_s: float = local_reply.RETRY_AFTER_S,
     ) -> None:
-        await own_answer.write(
+        await local_reply.write(
             self._context,
             request=self._request,
             route=self._route,
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -12,7 +12,7 @@
 from limpetroute.forwarding import forward_meters
 from limpetroute.forwarding import forwarder
 from limpetroute.forwarding import front_server
-from limpetroute.forwarding import limit_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import quarantine_client
 from limpetroute.forwarding import scheduler_client
 from limpetroute.platform import http_dialect
@@ -42,7 +42,7 @@
         self.quarantine = quarantine_client.QuarantineClient(
             http=caller.Caller(), urls=list
         )
-        self.limits = limit_client.LimitClient(
+        self.limits = rate_limit_client.RateLimitClient(
             http=caller.Caller(), view=self.view, entry_hosts=lambda: 1
         )
         self.context = forward_context.ForwardContext(
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -4,7 +4,7 @@
 import dataclasses
 
 from limpetroute.forwarding import fleet_view
-from limpetroute.forwarding import limit_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.platform import http_dialect
 from limpetroute.routing import plain_choice
 from limpetroute.routing import route_kind
@@ -35,7 +35,7 @@
         self.view = fleet_view.FleetView(dialect=http_dialect.HttpDialect())
         self.runner = builders.make_runner('r', None, started_ms=5)
         self.view._runners['r'] = self.runner
-        self.client = limit_client.LimitClient(
+        self.client = rate_limit_client.RateLimitClient(
             http=leader, view=self.view, entry_hosts=lambda: hosts
         )
         self.client.follow('http://leader')
@@ -77,7 +77,7 @@
 
 def test_a_host_without_a_leader_sends_a_part_of_its_share(monkeypatch):
     """Hosts that are cut off together stay within the limit."""
-    monkeypatch.setattr(limit_client, 'UNREACHABLE_S', 0.02)
+    monkeypatch.setattr(rate_limit_client, 'UNREACHABLE_S', 0.02)
 
     async def work():
         host = Host(Leader(None), hosts=2)
@@ -108,8 +108,8 @@
 
 def test_that_a_limit_is_taken_back_is_told_until_it_is_known(monkeypatch):
     """The leader would place streams by a limit that is gone."""
-    monkeypatch.setattr(limit_client, 'UNREACHABLE_S', 0.0)
-    monkeypatch.setattr(limit_client, 'REPORT_AGAIN_S', 0.0)
+    monkeypatch.setattr(rate_limit_client, 'UNREACHABLE_S', 0.0)
+    monkeypatch.setattr(rate_limit_client, 'REPORT_AGAIN_S', 0.0)
 
     async def work():
         leader = Leader()
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -411,7 +411,7 @@
 
             async def ask(one):
                 await asyncio.sleep(0.4)
-                return scheduler_client.NoScheduler(reason='timeout')
+                return scheduler_client.SchedulerUnavailable(reason='timeout')
 
             front.places.request_placement = ask
             got = await front.ask(more=USAGE)
