--- a/limpetroute/forwarding/control_watch.py
+++ b/limpetroute/forwarding/control_watch.py
@@ -65,7 +65,7 @@
         self._next = sum(host_id.encode())
         self._following = ''
         self._leader_url = ''
-        self.heard_s = 0.0
+        self.last_received_s = 0.0
         self._asked_s = 0.0
         self._failed_asks = 0
         self.entry_hosts = 1
@@ -113,7 +113,7 @@
         self._next += 1
         return urls[self._next % len(urls)]
 
-    def leader_first(self) -> list[str]:
+    def urls_leader_first(self) -> list[str]:
         """Return all control hosts, the one that leads first."""
         first = [self._leader_url] if self._leader_url else []
         return list(dict.fromkeys([*first, *self._known_urls()]))
@@ -150,7 +150,7 @@
             if in_touch:
                 is_newer = self._view.take(body)
                 if body['routes'] is not None:
-                    self._loader.hear(
+                    self._loader.notify(
                         routes_update_body.RoutesNoticeBody.model_validate(
                             body['routes']
                         )
@@ -170,7 +170,7 @@
             return 'nonsense'
         if not in_touch:
             return 'it is out of touch'
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         return ''
 
     def _note_following(self, url: str) -> None:
@@ -207,7 +207,7 @@
 
     def _silent_ms(self) -> int | None:
         """Return how long nothing was heard; None from the start on."""
-        if not self.heard_s:
+        if not self.last_received_s:
             return None
-        silent_s = asyncio.get_running_loop().time() - self.heard_s
+        silent_s = asyncio.get_running_loop().time() - self.last_received_s
         return round(silent_s * 1000)
--- a/limpetroute/forwarding/fleet_view.py
+++ b/limpetroute/forwarding/fleet_view.py
@@ -62,7 +62,7 @@
             known = self.loads[runner_id] = runner_load.RunnerLoad()
         return known
 
-    def take(self, body: typing.Mapping[str, typing.Any]) -> bool:
+    def apply_runners(self, body: typing.Mapping[str, typing.Any]) -> bool:
         """Take what a control host says of runners; return if newer."""
         index = int(body['index'])
         if index <= self.index:
@@ -79,7 +79,7 @@
         """Decode parts of routes that will be in force."""
         self._dialect.prepare_plan(parts)
 
-    def take_routes(self, copy: routes_copy.RoutesCopy) -> None:
+    def apply_routes(self, copy: routes_copy.RoutesCopy) -> None:
         """Put a routing configuration in force, unless it is older."""
         if copy.version <= self.routes.version:
             return
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -75,7 +75,7 @@
             if runner is None:
                 await self._end_without_runner()
                 return
-            if self._gate.is_shut():
+            if self._gate.is_closed():
                 await self._refuse_quarantined()
                 return
             if not await self._context.limits.take(runner):
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -77,7 +77,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(requests={len(self._fleet_wide)!r})'
 
-    def receive(self, fingerprints: typing.Iterable[str]) -> None:
+    def update(self, fingerprints: typing.Iterable[str]) -> None:
         """Take the fleet's quarantined requests."""
         received = frozenset(fingerprints)
         removed = self._fleet_wide - received
@@ -94,7 +94,7 @@
             )
         self._fleet_wide = received
 
-    def holds(self, request: caller_request.CallerRequest) -> bool:
+    def is_quarantined(self, request: caller_request.CallerRequest) -> bool:
         """Return whether a request is quarantined."""
         if not self._fleet_wide and not self._own:
             return False
--- a/limpetroute/forwarding/quarantine_gate.py
+++ b/limpetroute/forwarding/quarantine_gate.py
@@ -28,7 +28,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
-    def is_shut(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether it surely may not be sent now.
 
         Asked before anything is reserved for it.
--- a/limpetroute/forwarding/rate_limit_client.py
+++ b/limpetroute/forwarding/rate_limit_client.py
@@ -92,11 +92,11 @@
         What cannot be read changes nothing, and is logged once.
         """
         if text is None:
-            self.note(runner, None)
+            self.note_limit(runner, None)
             return
         limit_per_s = rate_limit.read_limit(text)
         if limit_per_s is not None:
-            self.note(runner, limit_per_s)
+            self.note_limit(runner, limit_per_s)
             return
         load = self._view.load(runner.runner_id)
         if load.unreadable_limit != text:
@@ -106,7 +106,7 @@
                 extra={'runner': runner.runner_id, 'text': text[:80]},
             )
 
-    def note(
+    def note_limit(
         self, runner: runner_info.RunnerInfo, limit_per_s: float | None
     ) -> None:
         """Take note of the limit, or of none, in a runner's answer."""
@@ -161,7 +161,7 @@
         load.limited_until_s = _now_s() + got.wait_s
         return False
 
-    def take_alone(self, runner: runner_info.RunnerInfo) -> bool:
+    def take_locally(self, runner: runner_info.RunnerInfo) -> bool:
         """Return whether a request may be sent that no leader gave out."""
         limit_per_s = self._view.load(runner.runner_id).limit_per_s
         return limit_per_s is None or self._take_own(runner, limit_per_s)
--- a/limpetroute/forwarding/routes_loader.py
+++ b/limpetroute/forwarding/routes_loader.py
@@ -80,7 +80,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def hear(self, notice: routes_update_body.RoutesNoticeBody) -> None:
+    def notify(self, notice: routes_update_body.RoutesNoticeBody) -> None:
         """Take the news of a version; fetch what it does not bring."""
         if notice.version <= self.version:
             return
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -127,10 +127,10 @@
             )
         except (ValueError, TypeError) as exc:
             return SchedulerUnavailable(reason=str(exc))
-        self.note(place, request_placement)
+        self.note_placement(place, request_placement)
         return place
 
-    def note(
+    def note_placement(
         self, place: placement.Placement, ask: placement.PlacementRequest
     ) -> None:
         """Take note of a place that this host holds."""
@@ -148,7 +148,7 @@
         memory for as long as those streams last.
         """
         self._untold = True
-        self.note(place, ask)
+        self.note_placement(place, ask)
 
     def next_attempt(self) -> int:
         """Return a number that tells one ask for a place from others."""
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -71,7 +71,7 @@
         http = caller.Caller(tls=trust.client_tls, token=trust.token)
         places = scheduler_client.SchedulerClient(http=http)
         quarantine = quarantine_client.QuarantineClient(
-            http=http, urls=lambda: self.watch.leader_first()
+            http=http, urls=lambda: self.watch.urls_leader_first()
         )
         self.watch = control_watch.ControlWatch(
             view=self.view,
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -89,7 +89,7 @@
             await self._end(next_step.Step.REFUSE, 'this host stops')
             return
         while True:
-            if self._gate.is_shut():
+            if self._gate.is_closed():
                 await self._refuse_quarantined()
                 return
             places = placement_session.PlacementSession(
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -48,7 +48,7 @@
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         assert await host.take()
         assert not leader.calls
 
@@ -59,7 +59,7 @@
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         assert await host.take()
         assert [one['takes'] for one in leader.calls] == [True]
         assert leader.calls[0]['limit_per_s'] == 3.0
@@ -81,7 +81,7 @@
 
     async def work():
         host = Host(Leader(None), hosts=2)
-        host.client.note(host.runner, 40.0)
+        host.client.note_limit(host.runner, 40.0)
         sent = 0
         until_s = asyncio.get_running_loop().time() + 1.0
         while asyncio.get_running_loop().time() < until_s:
@@ -96,7 +96,7 @@
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         await asyncio.sleep(0.01)
         leader.calls.clear()
         host.client.follow('http://other')
@@ -114,17 +114,17 @@
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         await asyncio.sleep(0.01)
         leader.body = None
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         await asyncio.sleep(0.01)
         leader.body = Leader().body
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         await asyncio.sleep(0.01)
         assert leader.calls[-1]['limit_per_s'] is None
         count = len(leader.calls)
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         await asyncio.sleep(0.01)
         assert len(leader.calls) == count
         assert await host.take()
@@ -135,7 +135,7 @@
 def test_a_runner_that_started_again_has_no_limit_yet():
     async def work():
         host = Host(Leader())
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         again = dataclasses.replace(host.runner, started_ms=6)
         host.view._runners['r'] = again
         host.view.loads.pop('r')
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -117,7 +117,7 @@
     async def work():
         control = Control(trial=WAIT)
         client = control.client()
-        client.receive([_request().fingerprint])
+        client.update([_request().fingerprint])
         assert not await _may_send(client)
         assert await _may_send(client, b'another')
 
@@ -130,13 +130,13 @@
     async def work():
         control = Control(trial=WAIT)
         client = control.client()
-        client.receive([_request().fingerprint])
+        client.update([_request().fingerprint])
         for _ in range(50):
             gate = quarantine_gate.QuarantineGate(
                 client=client, request=_request()
             )
             assert not await gate.may_send()
-            assert gate.is_shut()
+            assert gate.is_closed()
             assert 0.0 < gate.retry_after_s <= 2.0
         assert len(control.called('/trial')) == 1
 
@@ -147,7 +147,7 @@
     async def work():
         control = Control(trial=GRANTED)
         client = control.client()
-        client.receive([_request().fingerprint])
+        client.update([_request().fingerprint])
         assert await _may_send(client)
         assert not await _may_send(client)
 
@@ -159,12 +159,12 @@
         control = Control(trial=GRANTED)
         client = control.client()
         fingerprint = _request().fingerprint
-        client.receive([fingerprint])
+        client.update([fingerprint])
         assert await _may_send(client)
         client.note_answered(_request())
         await asyncio.sleep(0.05)
         assert control.called('/clear') == [{'fingerprint': fingerprint}]
-        client.receive([])
+        client.update([])
         assert await _may_send(client)
         assert await _may_send(client)
 
@@ -180,7 +180,7 @@
         _crash(client, count=3)
         await asyncio.sleep(0.05)
         assert await _may_send(client)
-        assert not client.holds(_request())
+        assert not client.is_quarantined(_request())
 
     asyncio.run(work())
 
@@ -195,7 +195,7 @@
     monkeypatch.setattr(
         caller_request.CallerRequest, 'fingerprint', property(hashes)
     )
-    assert not client.holds(_request())
+    assert not client.is_quarantined(_request())
     client.note_answered(_request())
 
 
--- a/tests/forwarding/test_routes_loader.py
+++ b/tests/forwarding/test_routes_loader.py
@@ -83,7 +83,7 @@
             steps=(routes_copy.Added(array='', texts=('{}',)),),
         )
         view, loader = make(ControlHost(newest))
-        loader.hear(notice(newest, wrong))
+        loader.notify(notice(newest, wrong))
         assert view.plan is None
         await asyncio.sleep(0.1)
         assert view.routes == newest
@@ -104,13 +104,13 @@
         host = ControlHost(broken)
         view, loader = make(host)
         update = routes_copy.update_between(routes_copy.RoutesCopy(), broken)
-        loader.hear(notice(broken, update if inline else None))
+        loader.notify(notice(broken, update if inline else None))
         await asyncio.sleep(1.0)
         assert view.plan is None
         assert 2 <= host.calls <= 6
         good = copy(3, large_routes.text(3, 5))
         host.__init__(good)
-        loader.hear(notice(good))
+        loader.notify(notice(good))
         async with asyncio.timeout(5.0):
             while view.routes != good:
                 await asyncio.sleep(0.02)
@@ -125,7 +125,7 @@
     async def work():
         newest = copy(2, large_routes.text(2, 5))
         view, loader = make(ControlHost(newest, status=404))
-        loader.hear(notice(newest))
+        loader.notify(notice(newest))
         assert loader.version == 2
         await asyncio.sleep(0.2)
         assert loader.version == 0
--- a/tests/forwarding/test_scheduler_client.py
+++ b/tests/forwarding/test_scheduler_client.py
@@ -106,7 +106,7 @@
     async def work():
         leader = LateLeader()
         client = scheduler_client.SchedulerClient(http=leader)
-        client.note(own_place('own'), builders.make_ask('own'))
+        client.note_placement(own_place('own'), builders.make_ask('own'))
         client.follow('http://127.0.0.1:1')
         await asyncio.sleep(0)
         await client.request_placement(builders.make_ask('asked'))
