--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -75,7 +75,7 @@
         rng: random.Random,
     ) -> None:
         self.view = view
-        self.places = places
+        self.scheduler = places
         self.quarantine = quarantine
         self.limits = limits
         self.dialect = dialect
@@ -83,9 +83,9 @@
         self.zone = zone
         self.rng = rng
         # When a host that stops breaks off what is still open.
-        self.ends_s: float | None = None
+        self.shutdown_s: float | None = None
         self._speeds: dict[str, usual_size.UsualSize] = {}
-        self.takes_calls = True
+        self.accepts_calls = True
         self._watch = watch
         self._make_budget = make_budget
         self._aside: set[asyncio.Task[None]] = set()
@@ -99,18 +99,18 @@
         """Hosts that forward, this one among them, as far as known."""
         return self._watch.entry_hosts
 
-    def takes_stream(
+    def accepts_stream(
         self,
         service: service_module.Service,
         generation: caller_request.Generation,
     ) -> bool:
         """Return whether a stream surely ends before this host does."""
-        if self.ends_s is None:
+        if self.shutdown_s is None:
             return True
         return last_streams.may_take(
             most_tokens=generation.max_output_tokens,
             tokens_per_s=self._speed(service).mean,
-            left_s=self.ends_s - _now_s(),
+            left_s=self.shutdown_s - _now_s(),
         )
 
     def note_speed(
@@ -119,7 +119,7 @@
         """Take note of how fast a stream was written."""
         self._speed(service).note(tokens_per_s)
 
-    def left_s(
+    def remaining_s(
         self,
         request: caller_request.CallerRequest,
         route: route_module.Route,
@@ -131,7 +131,7 @@
         spent_s = asyncio.get_running_loop().time() - request.received_s
         return max(0.0, whole_s - spent_s)
 
-    def run_aside(self, work: typing.Coroutine[None, None, None]) -> None:
+    def run_in_background(self, work: typing.Coroutine[None, None, None]) -> None:
         """Run something that no caller waits for."""
         task = asyncio.create_task(work)
         self._aside.add(task)
@@ -141,7 +141,7 @@
         """Count a caller's request for a service."""
         self._budget(service).note_request(_now_s())
 
-    def may_send_again(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Take a second send out of a service's budget."""
         return self._budget(service).take(_now_s(), self.entry_hosts)
 
@@ -180,7 +180,7 @@
             **more,
         )
 
-    def note_answer_of(self, call: runner_call.RunnerCall) -> None:
+    def note_rate_limit(self, call: runner_call.RunnerCall) -> None:
         """Take note of the limit that a runner's answer names."""
         if not call.status or self.dialect.is_misdirected(call.status):
             return
@@ -224,7 +224,7 @@
         self.quarantine.note_crash(request, runner, begun=begun)
 
     @contextlib.contextmanager
-    def sending(
+    def log_if_cut(
         self,
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -159,10 +159,10 @@
         LOG.info('stopping', extra={'active': self.forwarder.active})
         await asyncio.sleep(OUT_OF_ROTATION_S)
         last_s = begun_s + self.settings.grace_s - LAST_WORD_S
-        self._context.ends_s = last_s
+        self._context.shutdown_s = last_s
         while self.forwarder.active and loop.time() < last_s:
             if loop.time() > last_s - LAST_CALLS_S:
-                self._context.takes_calls = False
+                self._context.accepts_calls = False
                 self._front.stop_listening()
             await asyncio.sleep(LOOK_S)
         self._front.stop_listening()
