--- a/limpetroute/forwarding/event_splitter.py
+++ b/limpetroute/forwarding/event_splitter.py
@@ -32,12 +32,12 @@
         self._note_id(whole)
         return whole
 
-    def rest(self) -> bytes:
+    def take_remainder(self) -> bytes:
         """Return what is left of a stream that ended well."""
         rest, self._rest = self._rest, b''
         return rest
 
-    def drop(self) -> None:
+    def discard_partial(self) -> None:
         """Forget a part of an event."""
         self._rest = b''
 
--- a/limpetroute/forwarding/front_server.py
+++ b/limpetroute/forwarding/front_server.py
@@ -53,11 +53,11 @@
         sockets = netutil.bind_sockets(port, address, backlog=1024)
         self.port = int(sockets[0].getsockname()[1])
         self._server = httpserver.HTTPServer(self)
-        self.apply(self.limits)
+        self.apply_limits(self.limits)
         self._server.add_sockets(sockets)
         self._listens = True
 
-    def apply(self, limits: caller_limits.CallerLimits) -> None:
+    def apply_limits(self, limits: caller_limits.CallerLimits) -> None:
         """Hold connections made from now on to these limits.
 
         The library has one timeout for a connection that is idle and
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -41,9 +41,9 @@
     """What has become of a stream; see `PlacementRequest` for the fields."""
 
     tried: frozenset[str]
-    goes_on: bool
+    is_resumed: bool
     written_tokens: int
-    reads_prompt: bool
+    may_use_prefill_runner: bool
     waited_s: float
 
 
@@ -99,7 +99,7 @@
                 rooms = self._rooms(answer)
                 if rooms is not None:
                     return rooms
-                self.give_back()
+                self.release()
             # The leader may have kept it waiting before it failed.
             waited_s = so_far.waited_s + _now_s() - begun_s
             ask = dataclasses.replace(ask, waited_s=waited_s)
@@ -111,7 +111,7 @@
                 return got
             await asyncio.sleep(LOOK_AGAIN_S)
 
-    def note_read(self) -> None:
+    def note_prefill_done(self) -> None:
         """Tell whoever gave the places that the prompt was read."""
         self._context.places.note_prefill_done(
             self._service.name, self._request.request_id, self._attempt
@@ -126,7 +126,7 @@
             _now_s() - sent_s,
         )
 
-    def give_back(
+    def release(
         self,
         *,
         events_s: float = 0.0,
--- a/limpetroute/forwarding/runner_call.py
+++ b/limpetroute/forwarding/runner_call.py
@@ -65,7 +65,7 @@
         return self._link.headers
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the response arrived to its end."""
         return self._link.whole
 
@@ -126,7 +126,7 @@
             return SendFailure(
                 result=send_result.SendResult.TIMED_OUT, detail='in the body'
             )
-        if not self.whole:
+        if not self.is_complete:
             return SendFailure(
                 result=send_result.SendResult.BROKEN, detail='in the body'
             )
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -177,7 +177,7 @@
         self._limits.follow(leader_url)
 
     def _apply_limits(self, plan: route_plan.RoutePlan) -> None:
-        self._front.apply(plan.limits)
+        self._front.apply_limits(plan.limits)
 
     def _control_urls(self) -> list[str]:
         hosts = [seeds_module.host_of(seed) for seed in self._read_seeds()]
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -110,7 +110,7 @@
                     return
                 step = await self._send(got, places)
             finally:
-                places.give_back(
+                places.release(
                     events_s=self._relay.events_s,
                     tokens=self._tokens_written(),
                     failed=self._failed,
@@ -174,7 +174,7 @@
     def _tokens_written(self) -> int:
         engine = self._service.engine
         assert engine is not None
-        return self._relay.count * engine.tokens_per_event
+        return self._relay.event_count * engine.tokens_per_event
 
     def _goes_on(self) -> bool:
         """Return whether a part of the answer is there already."""
@@ -264,7 +264,7 @@
     ) -> next_step.Step:
         context = self._context
         begun_s = _now_s()
-        events_before = self._relay.count
+        events_before = self._relay.event_count
         on_first_event = None
         if source is None or self._goes_on():
             # The decode runner reads at least what was written before.
@@ -300,7 +300,7 @@
             await context.note_broken(
                 self._request,
                 runner,
-                begun=self._relay.count > events_before,
+                begun=self._relay.event_count > events_before,
             )
         step = self._decide(result)
         context.log_send(
@@ -311,7 +311,7 @@
             took_s=_now_s() - begun_s,
             detail=failed.detail if failed else f'status {call.status}',
             part='decode',
-            events=self._relay.count,
+            events=self._relay.event_count,
             first_event_ms=self._relay.first_event_ms,
             longest_gap_ms=self._relay.longest_gap_ms,
             expected_first_ms=_expected_ms(expected),
--- a/limpetroute/forwarding/stream_relay.py
+++ b/limpetroute/forwarding/stream_relay.py
@@ -57,7 +57,7 @@
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
     @property
-    def count(self) -> int:
+    def event_count(self) -> int:
         """Number of events that were passed on."""
         return self._events.count
 
@@ -116,12 +116,12 @@
                 if events:
                     await self._write(call, events)
         except TimeoutError:
-            self._events.drop()
+            self._events.discard_partial()
             return send_result.SendResult.TIMED_OUT
         if not call.whole:
-            self._events.drop()
+            self._events.discard_partial()
             return send_result.SendResult.BROKEN
-        rest = self._events.rest()
+        rest = self._events.take_remainder()
         if rest or not responder.started:
             await self._write(call, rest)
         await responder.finish()
