--- a/limpetroute/forwarding/control_watch.py
+++ b/limpetroute/forwarding/control_watch.py
@@ -148,7 +148,7 @@
             body = got.json()
             in_touch = bool(body['in_touch'])
             if in_touch:
-                is_newer = self._view.take(body)
+                is_newer = self._view.apply_runners(body)
                 if body['routes'] is not None:
                     self._loader.notify(
                         routes_update_body.RoutesNoticeBody.model_validate(
@@ -157,7 +157,7 @@
                     )
                 quarantined = body.get('quarantined')
                 if is_newer and quarantined is not None:
-                    self._quarantine.receive(quarantined)
+                    self._quarantine.update(quarantined)
                 self._leader_url = str(body['leader_url'])
                 self._on_leader(self._leader_url)
                 self._heard_urls = [str(one) for one in body['urls']]
--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -102,7 +102,9 @@
     def read_handle(self, body: bytes) -> str:
         """Return the handle of a prefill's result; `ValueError` if none."""
 
-    def free_handle_call(self, handle: str, runner_id: str) -> small_call.SmallCall:
+    def free_handle_call(
+        self, handle: str, runner_id: str
+    ) -> small_call.SmallCall:
         """Return the call that frees a prefill's result."""
 
     def prepare_plan(self, parts: typing.Iterable[routes_parts.Part]) -> None:
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -12,8 +12,8 @@
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import fleet_view
 from limpetroute.forwarding import forward_meters
-from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import quarantine_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.forwarding import scheduler_client
@@ -42,7 +42,7 @@
         Routes and runners.
     watch : ControlWatch
         Knows how many hosts there are.
-    places : SchedulerClient
+    scheduler : SchedulerClient
         Gives streams their places.
     quarantine : QuarantineClient
         Knows the requests under which runners crash.
@@ -65,7 +65,7 @@
         *,
         view: fleet_view.FleetView,
         watch: control_watch.ControlWatch,
-        places: scheduler_client.SchedulerClient,
+        scheduler: scheduler_client.SchedulerClient,
         quarantine: quarantine_client.QuarantineClient,
         limits: rate_limit_client.RateLimitClient,
         dialect: dialect_module.Dialect,
@@ -75,7 +75,7 @@
         rng: random.Random,
     ) -> None:
         self.view = view
-        self.scheduler = places
+        self.scheduler = scheduler
         self.quarantine = quarantine
         self.limits = limits
         self.dialect = dialect
@@ -131,7 +131,9 @@
         spent_s = asyncio.get_running_loop().time() - request.received_s
         return max(0.0, whole_s - spent_s)
 
-    def run_in_background(self, work: typing.Coroutine[None, None, None]) -> None:
+    def run_in_background(
+        self, work: typing.Coroutine[None, None, None]
+    ) -> None:
         """Run something that no caller waits for."""
         task = asyncio.create_task(work)
         self._aside.add(task)
@@ -188,7 +190,7 @@
             call.runner, self.dialect.rate_limit_text(call.headers)
         )
 
-    async def note_broken(
+    async def report_if_crashed(
         self,
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
--- a/limpetroute/forwarding/forwarder.py
+++ b/limpetroute/forwarding/forwarder.py
@@ -142,7 +142,7 @@
                 service=name,
                 responder=responder,
             )
-        whole_s = context.left_s(request, route)
+        whole_s = context.remaining_s(request, route)
         try:
             async with asyncio.timeout(whole_s):
                 await forward.run()
--- a/limpetroute/forwarding/local_reply.py
+++ b/limpetroute/forwarding/local_reply.py
@@ -89,4 +89,4 @@
     if responder.started:
         responder.abort()
         return
-    await responder.whole(status, headers, body)
+    await responder.write_whole(status, headers, body)
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -79,7 +79,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
-    async def take(
+    async def acquire(
         self, so_far: StreamProgress
     ) -> AssignedRunners | placement.Rejection:
         """Return runners, or a rejection.
@@ -92,7 +92,7 @@
         begun_s = _now_s()
         while True:
             ask = self._ask(so_far, waited_here_s=_now_s() - begun_s)
-            answer = await self._context.places.request_placement(ask)
+            answer = await self._context.scheduler.request_placement(ask)
             if isinstance(answer, placement.Rejection):
                 return answer
             if isinstance(answer, placement.Placement):
@@ -113,13 +113,13 @@
 
     def note_prefill_done(self) -> None:
         """Tell whoever gave the places that the prompt was read."""
-        self._context.places.note_prefill_done(
+        self._context.scheduler.note_prefill_done(
             self._service.name, self._request.request_id, self._attempt
         )
 
     def note_first_event(self, sent_s: float) -> None:
         """Tell that the decode runner has read what it was sent then."""
-        self._context.places.note_first_event(
+        self._context.scheduler.note_first_event(
             self._service.name,
             self._request.request_id,
             self._attempt,
@@ -136,7 +136,7 @@
         whole: bool = False,
     ) -> None:
         """Give back what is held, with what was measured."""
-        self._context.places.release(
+        self._context.scheduler.release(
             self._service.name,
             placement.Release(
                 request_id=self._request.request_id,
@@ -154,7 +154,7 @@
     ) -> placement.PlacementRequest:
         generation = self._request.generation
         assert generation is not None
-        self._attempt = self._context.places.next_attempt()
+        self._attempt = self._context.scheduler.next_attempt()
         waited_s = so_far.waited_s + waited_here_s
         return placement.PlacementRequest(
             request_id=self._request.request_id,
@@ -165,10 +165,10 @@
             waited_s=waited_s,
             target_s=self._route.target_s,
             patience_s=waited_s
-            + self._context.left_s(self._request, self._route),
-            goes_on=so_far.goes_on,
+            + self._context.remaining_s(self._request, self._route),
+            goes_on=so_far.is_resumed,
             written_tokens=so_far.written_tokens,
-            reads_prompt=so_far.reads_prompt,
+            reads_prompt=so_far.may_use_prefill_runner,
             may_repeat=self._route.repeatable,
             zone=self._context.zone,
             prompt_id=generation.prompt_id,
@@ -236,7 +236,7 @@
                 retry_after_s=1.0,
                 reason='no room known',
             )
-        context.places.note_local_placement(
+        context.scheduler.note_local_placement(
             placement.Placement(
                 request_id=ask.request_id,
                 decode_id=decode.runner_id,
@@ -253,9 +253,9 @@
     ) -> bool:
         """Return whether limits let this host send to both now."""
         limits = self._context.limits
-        if prefill is not None and not limits.take_alone(prefill):
+        if prefill is not None and not limits.take_locally(prefill):
             return False
-        return limits.take_alone(decode)
+        return limits.take_locally(decode)
 
     def _log_alone(
         self,
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -67,7 +67,7 @@
 
     async def run(self) -> None:
         """Answer the request."""
-        if not self._context.takes_calls:
+        if not self._context.accepts_calls:
             await self._end(next_step.Step.REFUSE, 'this host stops')
             return
         while True:
@@ -128,18 +128,18 @@
         load = context.view.load(runner.runner_id)
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
         note = dialect_module.SendOptions(
-            remaining_s=context.left_s(self._request, self._route),
+            remaining_s=context.remaining_s(self._request, self._route),
             runner_id=runner.runner_id,
         )
         load.requests += 1
         try:
-            with context.sending(self._request, runner):
+            with context.log_if_cut(self._request, runner):
                 failed = await call.open(self._request, note)
-                context.note_answer_of(call)
+                context.note_rate_limit(call)
                 body: bytes | runner_call.SendFailure = b''
                 if failed is None:
                     body = await call.read(
-                        context.left_s(self._request, self._route)
+                        context.remaining_s(self._request, self._route)
                     )
         finally:
             load.requests -= 1
@@ -154,7 +154,7 @@
         elif result is not send_result.SendResult.TIMED_OUT:
             load.note_failure(_now_s())
         if result is send_result.SendResult.BROKEN:
-            await context.note_broken(self._request, runner, begun=False)
+            await context.report_if_crashed(self._request, runner, begun=False)
         step = self._decide(result)
         context.log_send(
             self._request,
@@ -166,7 +166,7 @@
         )
         if step is next_step.Step.RELAY:
             assert isinstance(body, bytes)
-            await self._responder.whole(
+            await self._responder.write_whole(
                 call.status,
                 context.dialect.caller_headers(call.headers),
                 body,
@@ -177,7 +177,7 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            left_s=self._context.left_s(self._request, self._route),
+            left_s=self._context.remaining_s(self._request, self._route),
             may_go_on=self._may_go_on,
         )
 
@@ -186,7 +186,7 @@
             return False
         if not self._history.sends:
             return True
-        return self._context.may_send_again(self._service)
+        return self._context.take_retry(self._service)
 
     async def _end(
         self,
--- a/limpetroute/forwarding/prompt_prefill.py
+++ b/limpetroute/forwarding/prompt_prefill.py
@@ -65,7 +65,9 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(reading={self._reading!r})'
 
-    async def read(self, runner: runner_info.RunnerInfo) -> PrefilledPrompt | None:
+    async def run(
+        self, runner: runner_info.RunnerInfo
+    ) -> PrefilledPrompt | None:
         """Return where the KV cache is, or None if none was made.
 
         Without one, another place has to be asked for: whoever gives
@@ -93,7 +95,7 @@
         if reading is None or reading.taken:
             return
         reading.taken = True
-        self._context.run_aside(self._free(reading))
+        self._context.run_in_background(self._free(reading))
 
     async def _call(
         self, runner: runner_info.RunnerInfo, tokens: int
@@ -101,7 +103,7 @@
         context = self._context
         begun_s = _now_s()
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
-        left_s = context.left_s(self._request, self._route)
+        left_s = context.remaining_s(self._request, self._route)
         limit_s = READING_SLACK_S + tokens / SLOWEST_TOKENS_PER_S
         note = dialect_module.SendOptions(
             remaining_s=min(left_s, limit_s),
@@ -110,15 +112,15 @@
         )
         handle = ''
         try:
-            with context.sending(self._request, runner, part='prefill'):
+            with context.log_if_cut(self._request, runner, part='prefill'):
                 failed = await call.open(self._request, note)
-                context.note_answer_of(call)
+                context.note_rate_limit(call)
                 if failed is None:
                     handle, failed = await self._read_handle(call)
         finally:
             call.close()
         if failed and failed.result is send_result.SendResult.BROKEN:
-            await context.note_broken(self._request, runner, begun=False)
+            await context.report_if_crashed(self._request, runner, begun=False)
         load = context.view.load(runner.runner_id)
         if failed is None:
             load.note_success(_now_s() - begun_s)
@@ -150,7 +152,7 @@
         self, call: runner_call.RunnerCall
     ) -> tuple[str, runner_call.SendFailure | None]:
         body = await call.read(
-            self._context.left_s(self._request, self._route)
+            self._context.remaining_s(self._request, self._route)
         )
         if isinstance(body, runner_call.SendFailure):
             return '', body
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -144,7 +144,7 @@
             self._unreported_clears[fingerprint] = None
         self._report()
 
-    async def ask_trial(
+    async def request_trial(
         self, request: caller_request.CallerRequest
     ) -> Verdict:
         """Ask whether a quarantined request may be sent once more."""
@@ -156,7 +156,7 @@
             # Asked before its crashes are known there, it would pass for
             # one that was never quarantined.
             return Verdict(allowed=False, wait_s=UNSURE_WAIT_S)
-        got = await self._ask(
+        got = await self._call(
             '/v1/quarantine/trial', {'fingerprint': fingerprint}
         )
         if got is None:
@@ -208,7 +208,7 @@
                     del self._unreported[life]
             return True
         fingerprint = next(iter(self._unreported_clears))
-        got = await self._ask(
+        got = await self._call(
             '/v1/quarantine/clear', {'fingerprint': fingerprint}
         )
         if got is None:
@@ -230,9 +230,9 @@
             }
             for life, suspects in crashes.items()
         ]
-        return await self._ask('/v1/crashes', {'crashes': rows}) is not None
+        return await self._call('/v1/crashes', {'crashes': rows}) is not None
 
-    async def _ask(
+    async def _call(
         self, path: str, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any] | None:
         """Return the group's answer, or None if there was none."""
--- a/limpetroute/forwarding/quarantine_gate.py
+++ b/limpetroute/forwarding/quarantine_gate.py
@@ -33,7 +33,7 @@
 
         Asked before anything is reserved for it.
         """
-        if not self._client.holds(self._request):
+        if not self._client.is_quarantined(self._request):
             return False
         self.retry_after_s = self._client.wait_s(self._request)
         return self.retry_after_s > 0.0
@@ -44,8 +44,8 @@
         Asked before each send: a request may have waited for its turn
         while it crashed runners elsewhere, and a trial is one send.
         """
-        if not self._client.holds(self._request):
+        if not self._client.is_quarantined(self._request):
             return True
-        verdict = await self._client.ask_trial(self._request)
+        verdict = await self._client.request_trial(self._request)
         self.retry_after_s = verdict.wait_s
         return verdict.allowed
--- a/limpetroute/forwarding/responder.py
+++ b/limpetroute/forwarding/responder.py
@@ -80,7 +80,7 @@
         self.finished = True
         self._connection.close()
 
-    async def whole(
+    async def write_whole(
         self, status: int, headers: httputil.HTTPHeaders, body: bytes
     ) -> None:
         """Write an answer at once."""
--- a/limpetroute/forwarding/routes_loader.py
+++ b/limpetroute/forwarding/routes_loader.py
@@ -105,7 +105,7 @@
     def _take_update(self, body: routes_update_body.RoutesUpdateBody) -> bool:
         try:
             copy = self._view.routes.apply(body.to_update())
-            self._view.take_routes(copy)
+            self._view.apply_routes(copy)
         except ValueError as exc:
             self._note_unusable(str(exc))
             return False
@@ -168,7 +168,7 @@
                 'took_ms': round(took_s * 1000),
             },
         )
-        self._view.take_routes(copy)
+        self._view.apply_routes(copy)
 
     async def _fetch(self, base: str, digest: str) -> tuple[str, int]:
         """Return an update's text, and in how many slices it came."""
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -34,7 +34,9 @@
     reason: str
 
 
-PlacementResult = placement.Placement | placement.Rejection | SchedulerUnavailable
+PlacementResult = (
+    placement.Placement | placement.Rejection | SchedulerUnavailable
+)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -82,12 +84,16 @@
         if leader_url and self._held:
             self._aside(self._tell_held())
 
-    async def request_placement(self, request_placement: placement.PlacementRequest) -> PlacementResult:
+    async def request_placement(
+        self, request_placement: placement.PlacementRequest
+    ) -> PlacementResult:
         """Return a stream's place, once there is one."""
         if not self._leader_url:
             return SchedulerUnavailable(reason='no leader is known')
         if _now_s() < self._unreachable_until_s:
-            return SchedulerUnavailable(reason='the leader could not be reached')
+            return SchedulerUnavailable(
+                reason='the leader could not be reached'
+            )
         try:
             got = await self._http.call(
                 method='POST',
@@ -102,7 +108,8 @@
             self.release(
                 request_placement.service,
                 placement.Release(
-                    request_id=request_placement.request_id, attempt=request_placement.attempt
+                    request_id=request_placement.request_id,
+                    attempt=request_placement.attempt,
                 ),
                 known=False,
             )
@@ -163,7 +170,9 @@
         if self._leader_url:
             self._aside(self._tell_end(service, end))
 
-    def note_prefill_done(self, service: str, request_id: str, attempt: int) -> None:
+    def note_prefill_done(
+        self, service: str, request_id: str, attempt: int
+    ) -> None:
         """Tell that a prompt was read apart; nobody waits for that."""
         if self._leader_url and request_id in self._held:
             self._aside(self._tell_read(service, request_id, attempt))
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -7,6 +7,7 @@
 
 from limpetroute.border import forwarder_settings
 from limpetroute.control import seeds as seeds_module
+from limpetroute.forwarding import admin_server
 from limpetroute.forwarding import control_watch
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import fleet_view
@@ -14,10 +15,9 @@
 from limpetroute.forwarding import forward_meters
 from limpetroute.forwarding import forwarder as forwarder_module
 from limpetroute.forwarding import front_server
-from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import quarantine_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import scheduler_client
-from limpetroute.forwarding import admin_server
 from limpetroute.routing import route_plan
 from limpetroute.routing import send_budget
 from limpetroute.telemetry import exports as exports_module
@@ -92,7 +92,7 @@
         self._context = forward_context.ForwardContext(
             view=self.view,
             watch=self.watch,
-            places=places,
+            scheduler=places,
             quarantine=quarantine,
             limits=self._limits,
             dialect=dialect,
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -99,7 +99,7 @@
                 service=self._service,
             )
             try:
-                got = await places.take(self._so_far())
+                got = await places.acquire(self._so_far())
                 if isinstance(got, placement.Rejection):
                     await self._end(
                         next_step.Step.REFUSE, got.reason, got.retry_after_s
@@ -136,7 +136,7 @@
     def _is_taken(self) -> bool:
         generation = self._request.generation
         assert generation is not None
-        return self._context.takes_stream(self._service, generation)
+        return self._context.accepts_stream(self._service, generation)
 
     def _note_speed(self) -> None:
         events_s = self._relay.events_s
@@ -148,9 +148,9 @@
     def _so_far(self) -> placement_session.StreamProgress:
         return placement_session.StreamProgress(
             tried=frozenset(self._tried),
-            goes_on=self._goes_on(),
+            is_resumed=self._goes_on(),
             written_tokens=self._tokens_written(),
-            reads_prompt=self._may_read_apart(),
+            may_use_prefill_runner=self._may_read_apart(),
             waited_s=self._relay.waited_s,
         )
 
@@ -165,7 +165,7 @@
         sends = self._history.sends - self._sends_to_gone
         if sends + 2 > self._route.max_sends:
             return False
-        return self._context.may_send_again(self._service.name)
+        return self._context.take_retry(self._service.name)
 
     def _tokens(self) -> int:
         generation = self._request.generation
@@ -204,11 +204,11 @@
                 failed = await call.connect()
                 if failed is not None:
                     return self._after_failed_connect(runner, failed)
-                source = await reading.read(rooms.prefill)
+                source = await reading.run(rooms.prefill)
                 if source is None:
                     return self._after_failed_reading(rooms.prefill)
                 self._readings += 1
-                places.note_read()
+                places.note_prefill_done()
             return await self._decode(call, source, places, rooms.forecast)
         finally:
             call.close()
@@ -251,7 +251,7 @@
         self._failed_readings += 1
         if self._failed_readings > MAX_READINGS:
             return next_step.Step.REFUSE
-        if not self._context.may_send_again(self._service.name):
+        if not self._context.take_retry(self._service.name):
             return next_step.Step.REFUSE
         return next_step.Step.AGAIN
 
@@ -274,14 +274,14 @@
         runner = call.runner
         self._tried.add(runner.runner_id)
         note = dialect_module.SendOptions(
-            remaining_s=context.left_s(self._request, self._route),
+            remaining_s=context.remaining_s(self._request, self._route),
             runner_id=runner.runner_id,
             kv_source=source.source if source else None,
             resume_after=self._relay.last_id or None,
         )
-        with context.sending(self._request, runner, part='decode'):
+        with context.log_if_cut(self._request, runner, part='decode'):
             failed = await call.open(self._request, note)
-            context.note_answer_of(call)
+            context.note_rate_limit(call)
             result = failed.result if failed else None
             if failed is None and call.status >= runner_call.HTTP_SERVER_ERROR:
                 result = send_result.SendResult.FAILED
@@ -290,14 +290,14 @@
                     source.taken = True
                 result = await self._relay.run(
                     call,
-                    may_leave=self._history.another_may_follow,
+                    may_switch_runner=self._history.another_may_follow,
                     on_first_event=on_first_event,
                 )
         self._judge(runner, result, source, _now_s() - begun_s)
         if result is send_result.SendResult.ANSWERED:
             self._measure(expected, resumed=events_before > 0)
         if result is send_result.SendResult.BROKEN:
-            await context.note_broken(
+            await context.report_if_crashed(
                 self._request,
                 runner,
                 begun=self._relay.event_count > events_before,
@@ -377,12 +377,12 @@
             self._responder.abort()
             return
         body = await call.read(
-            self._context.left_s(self._request, self._route)
+            self._context.remaining_s(self._request, self._route)
         )
         if isinstance(body, runner_call.SendFailure):
             await self._end(next_step.Step.FAIL, body.detail)
             return
-        await self._responder.whole(
+        await self._responder.write_whole(
             call.status,
             self._context.dialect.caller_headers(call.headers),
             body,
@@ -392,14 +392,14 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            left_s=self._context.left_s(self._request, self._route),
+            left_s=self._context.remaining_s(self._request, self._route),
             may_go_on=self._may_go_on,
         )
 
     def _may_go_on(self) -> bool:
         if not self._history.sends:
             return True
-        return self._context.may_send_again(self._service.name)
+        return self._context.take_retry(self._service.name)
 
     async def _end(
         self,
--- a/limpetroute/forwarding/stream_relay.py
+++ b/limpetroute/forwarding/stream_relay.py
@@ -93,22 +93,22 @@
         self,
         call: runner_call.RunnerCall,
         *,
-        may_leave: bool,
+        may_switch_runner: bool,
         on_first_event: typing.Callable[[], None] | None = None,
     ) -> send_result.SendResult:
         """Pass whole events on as they come; return how it ended.
 
         ``on_first_event`` is called with the first one of this runner.
 
-        A silent runner is only left where ``may_leave`` says that the
+        A silent runner is only left where ``may_switch_runner`` says that the
         stream may go on elsewhere. A full runner that preempts is silent
         for seconds and goes on: left with no other send allowed, its
         caller had the answer cut in the middle for nothing.
         """
         self._on_first_event = on_first_event
         responder = self._responder
-        idle_s = self._context.left_s(self._request, self._route)
-        if self._route.resumable and may_leave:
+        idle_s = self._context.remaining_s(self._request, self._route)
+        if self._route.resumable and may_switch_runner:
             idle_s = min(idle_s, SILENT_S)
         try:
             async for chunk in call.chunks(idle_s):
@@ -118,7 +118,7 @@
         except TimeoutError:
             self._events.discard_partial()
             return send_result.SendResult.TIMED_OUT
-        if not call.whole:
+        if not call.is_complete:
             self._events.discard_partial()
             return send_result.SendResult.BROKEN
         rest = self._events.take_remainder()
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -119,7 +119,9 @@
             raise ValueError(f'no handle in {body[:80]!r}')
         return handle
 
-    def free_handle_call(self, handle: str, runner_id: str) -> small_call.SmallCall:
+    def free_handle_call(
+        self, handle: str, runner_id: str
+    ) -> small_call.SmallCall:
         """Return the call that frees a prefill's result."""
         return small_call.SmallCall(
             method='DELETE',
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -12,8 +12,8 @@
 from limpetroute.forwarding import forward_meters
 from limpetroute.forwarding import forwarder
 from limpetroute.forwarding import front_server
-from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import quarantine_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import scheduler_client
 from limpetroute.platform import http_dialect
 from limpetroute.routing import route
@@ -38,7 +38,7 @@
         for one in runners:
             self.view._runners[one.runner_id] = one
             self.view._by_service.setdefault(one.service, []).append(one)
-        self.places = scheduler_client.SchedulerClient(http=caller.Caller())
+        self.scheduler = scheduler_client.SchedulerClient(http=caller.Caller())
         self.quarantine = quarantine_client.QuarantineClient(
             http=caller.Caller(), urls=list
         )
@@ -48,7 +48,7 @@
         self.context = forward_context.ForwardContext(
             view=self.view,
             watch=OneHost(),
-            places=self.places,
+            scheduler=self.scheduler,
             quarantine=self.quarantine,
             limits=self.limits,
             dialect=self.dialect,
--- a/tests/forwarding/measure_routes.py
+++ b/tests/forwarding/measure_routes.py
@@ -75,7 +75,7 @@
     update = body.to_update()
     copy = view.routes.apply(update)
     view.prepare(update.added)
-    view.take_routes(copy)
+    view.apply_routes(copy)
 
 
 def _took_ms(work):
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -349,7 +349,7 @@
     async def work():
         async with harness.running([GOOD]) as (front, runners):
             limits = caller_limits.CallerLimits(max_body_bytes=100)
-            front.front.apply(limits)
+            front.front.apply_limits(limits)
             got = await front.ask(method='POST', body=b'x' * 200)
             assert not got or harness.status(got) in (400, 413)
             assert not runners[0].seen
@@ -362,7 +362,7 @@
 def test_an_idle_connection_is_kept_for_the_limit_and_no_longer():
     async def work():
         async with harness.running([GOOD]) as (front, _):
-            front.front.apply(
+            front.front.apply_limits(
                 caller_limits.CallerLimits(
                     idle_timeout_s=0.5, header_timeout_s=0.1
                 )
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -23,10 +23,10 @@
 
     def client(self):
         client = quarantine_client.QuarantineClient(http=None, urls=list)
-        client._ask = self._ask
+        client._call = self._call
         return client
 
-    async def _ask(self, path, body):
+    async def _call(self, path, body):
         self.asked += 1
         if not self.reachable:
             return None
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -100,7 +100,7 @@
             front,
             _,
         ):
-            front.places.note_first_event = lambda *args: heard.append(args)
+            front.scheduler.note_first_event = lambda *args: heard.append(args)
             await front.ask(method='POST', body=b'prompt', more=USAGE)
 
     run(work())
@@ -413,7 +413,7 @@
                 await asyncio.sleep(0.4)
                 return scheduler_client.SchedulerUnavailable(reason='timeout')
 
-            front.places.request_placement = ask
+            front.scheduler.request_placement = ask
             got = await front.ask(more=USAGE)
             assert harness.status(got) == 503
             assert not decode.seen
