--- a/limpetroute/control/routes_splitter.py
+++ b/limpetroute/control/routes_splitter.py
@@ -40,7 +40,9 @@
         routes: routes_store.RoutesInForce,
     ) -> None:
         try:
-            parts = await asyncio.to_thread(config_fragments.split, routes.text)
+            parts = await asyncio.to_thread(
+                config_fragments.split, routes.text
+            )
             recent.store_fragments(routes, parts)
         finally:
             del self._running[routes.digest]
--- a/limpetroute/dispatch/placement_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -143,6 +143,6 @@
             self.finish({'reason': 'this host does not lead'})
             return
         wait_s = self.dispatcher.acquire_token(
-            body.report(boot_clock.now_s()), has_request=body.takes
+            body.to_report(boot_clock.now_s()), has_request=body.takes
         )
         self.finish({'allowed': wait_s is None, 'wait_s': wait_s or 0.0})
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -7,7 +7,7 @@
 from limpetroute.forwarding import caller_request
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import forward_context
-from limpetroute.forwarding import own_answer
+from limpetroute.forwarding import local_reply
 from limpetroute.forwarding import quarantine_gate
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
@@ -67,7 +67,7 @@
 
     async def run(self) -> None:
         """Answer the request."""
-        if not self._context.takes_calls:
+        if not self._context.accepts_calls:
             await self._end(next_step.Step.REFUSE, 'this host stops')
             return
         while True:
@@ -75,7 +75,7 @@
             if runner is None:
                 await self._end_without_runner()
                 return
-            if self._gate.is_shut():
+            if self._gate.is_closed():
                 await self._refuse_quarantined()
                 return
             if not await self._context.limits.take(runner):
@@ -93,7 +93,7 @@
     async def _refuse_quarantined(self) -> None:
         await self._end(
             next_step.Step.REFUSE,
-            own_answer.QUARANTINED,
+            local_reply.QUARANTINED,
             self._gate.retry_after_s,
         )
 
@@ -105,7 +105,7 @@
             now_s=_now_s(),
         )
         if wait_s:
-            await self._end(next_step.Step.REFUSE, own_answer.LIMITED, wait_s)
+            await self._end(next_step.Step.REFUSE, local_reply.LIMITED, wait_s)
             return
         await self._end(next_step.Step.REFUSE, 'no runner')
 
@@ -127,19 +127,19 @@
         self._tried.add(runner.runner_id)
         load = context.view.load(runner.runner_id)
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
-        note = dialect_module.SendNote(
-            left_s=context.left_s(self._request, self._route),
+        note = dialect_module.SendOptions(
+            remaining_s=context.remaining_s(self._request, self._route),
             runner_id=runner.runner_id,
         )
         load.requests += 1
         try:
-            with context.sending(self._request, runner):
+            with context.log_if_cut(self._request, runner):
                 failed = await call.open(self._request, note)
-                context.note_answer_of(call)
+                context.note_rate_limit(call)
                 body: bytes | runner_call.SendFailure = b''
                 if failed is None:
                     body = await call.read(
-                        context.left_s(self._request, self._route)
+                        context.remaining_s(self._request, self._route)
                     )
         finally:
             load.requests -= 1
@@ -154,7 +154,7 @@
         elif result is not send_result.SendResult.TIMED_OUT:
             load.note_failure(_now_s())
         if result is send_result.SendResult.BROKEN:
-            await context.note_broken(self._request, runner, begun=False)
+            await context.report_if_crashed(self._request, runner, begun=False)
         step = self._decide(result)
         context.log_send(
             self._request,
@@ -166,7 +166,7 @@
         )
         if step is next_step.Step.RELAY:
             assert isinstance(body, bytes)
-            await self._responder.whole(
+            await self._responder.write_whole(
                 call.status,
                 context.dialect.caller_headers(call.headers),
                 body,
@@ -177,7 +177,7 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            remaining_s=self._context.left_s(self._request, self._route),
+            remaining_s=self._context.remaining_s(self._request, self._route),
             can_retry=self._may_go_on,
         )
 
@@ -186,15 +186,15 @@
             return False
         if not self._history.sends:
             return True
-        return self._context.may_send_again(self._service)
+        return self._context.take_retry(self._service)
 
     async def _end(
         self,
         step: next_step.Step,
         reason: str,
-        retry_after_s: float = own_answer.RETRY_AFTER_S,
+        retry_after_s: float = local_reply.RETRY_AFTER_S,
     ) -> None:
-        await own_answer.write(
+        await local_reply.write(
             self._context,
             request=self._request,
             route=self._route,
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -77,7 +77,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(requests={len(self._fleet_wide)!r})'
 
-    def receive(self, fingerprints: typing.Iterable[str]) -> None:
+    def update(self, fingerprints: typing.Iterable[str]) -> None:
         """Take the fleet's quarantined requests."""
         received = frozenset(fingerprints)
         removed = self._fleet_wide - received
@@ -94,7 +94,7 @@
             )
         self._fleet_wide = received
 
-    def holds(self, request: caller_request.CallerRequest) -> bool:
+    def is_quarantined(self, request: caller_request.CallerRequest) -> bool:
         """Return whether a request is quarantined."""
         if not self._fleet_wide and not self._own:
             return False
@@ -146,7 +146,7 @@
             self._unreported_clears[fingerprint] = None
         self._report()
 
-    async def ask_trial(
+    async def request_trial(
         self, request: caller_request.CallerRequest
     ) -> Verdict:
         """Ask whether a quarantined request may be sent once more."""
@@ -158,7 +158,7 @@
             # Asked before its crashes are known there, it would pass for
             # one that was never quarantined.
             return Verdict(allowed=False, wait_s=UNSURE_WAIT_S)
-        got = await self._ask(
+        got = await self._call(
             '/v1/quarantine/trial', {'fingerprint': fingerprint}
         )
         if got is None:
@@ -210,7 +210,7 @@
                     del self._unreported[life]
             return True
         fingerprint = next(iter(self._unreported_clears))
-        got = await self._ask(
+        got = await self._call(
             '/v1/quarantine/clear', {'fingerprint': fingerprint}
         )
         if got is None:
@@ -232,9 +232,9 @@
             }
             for life, suspects in crashes.items()
         ]
-        return await self._ask('/v1/crashes', {'crashes': rows}) is not None
+        return await self._call('/v1/crashes', {'crashes': rows}) is not None
 
-    async def _ask(
+    async def _call(
         self, path: str, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any] | None:
         """Return the group's answer, or None if there was none."""
--- a/limpetroute/forwarding/limit_client.py
+++ b/limpetroute/forwarding/rate_limit_client.py
@@ -38,7 +38,7 @@
     wait_s: float
 
 
-class LimitClient:
+class RateLimitClient:
     """Keeps what this host sends within the limits that runners name.
 
     The leader gives out a limited runner's requests one by one. Without a
@@ -96,11 +96,11 @@
         What cannot be read changes nothing, and is logged once.
         """
         if text is None:
-            self.note(runner, None)
+            self.note_limit(runner, None)
             return
         limit_per_s = rate_limit.parse_limit(text)
         if limit_per_s is not None:
-            self.note(runner, limit_per_s)
+            self.note_limit(runner, limit_per_s)
             return
         load = self._view.load(runner.runner_id)
         if load.invalid_limit != text:
@@ -110,7 +110,7 @@
                 extra={'runner': runner.runner_id, 'text': text[:80]},
             )
 
-    def note(
+    def note_limit(
         self, runner: runner_info.RunnerInfo, limit_per_s: float | None
     ) -> None:
         """Take note of the limit, or of none, in a runner's answer."""
@@ -165,7 +165,7 @@
         load.limited_until_s = _now_s() + got.wait_s
         return False
 
-    def take_alone(self, runner: runner_info.RunnerInfo) -> bool:
+    def take_locally(self, runner: runner_info.RunnerInfo) -> bool:
         """Return whether a request may be sent that no leader gave out."""
         limit_per_s = self._view.load(runner.runner_id).limit_per_s
         return limit_per_s is None or self._take_own(runner, limit_per_s)
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -7,9 +7,9 @@
 from limpetroute.forwarding import caller_request
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import forward_context
-from limpetroute.forwarding import own_answer
+from limpetroute.forwarding import local_reply
 from limpetroute.forwarding import placement_session
-from limpetroute.forwarding import prompt_reading
+from limpetroute.forwarding import prompt_prefill
 from limpetroute.forwarding import quarantine_gate
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
@@ -89,7 +89,7 @@
             await self._end(next_step.Step.REFUSE, 'this host stops')
             return
         while True:
-            if self._gate.is_shut():
+            if self._gate.is_closed():
                 await self._refuse_quarantined()
                 return
             places = placement_session.PlacementSession(
@@ -99,7 +99,7 @@
                 service=self._service,
             )
             try:
-                got = await places.take(self._so_far())
+                got = await places.acquire(self._so_far())
                 if isinstance(got, placement.Rejection):
                     await self._end(
                         next_step.Step.REFUSE, got.reason, got.retry_after_s
@@ -110,7 +110,7 @@
                     return
                 step = await self._send(got, places)
             finally:
-                places.give_back(
+                places.release(
                     events_s=self._relay.events_s,
                     tokens=self._tokens_written(),
                     failed=self._failed,
@@ -129,14 +129,14 @@
     async def _refuse_quarantined(self) -> None:
         await self._end(
             next_step.Step.REFUSE,
-            own_answer.QUARANTINED,
+            local_reply.QUARANTINED,
             self._gate.retry_after_s,
         )
 
     def _is_taken(self) -> bool:
         generation = self._request.generation
         assert generation is not None
-        return self._context.takes_stream(self._service, generation)
+        return self._context.accepts_stream(self._service, generation)
 
     def _note_speed(self) -> None:
         events_s = self._relay.events_s
@@ -148,9 +148,9 @@
     def _so_far(self) -> placement_session.StreamProgress:
         return placement_session.StreamProgress(
             tried=frozenset(self._tried),
-            goes_on=self._goes_on(),
+            is_resumed=self._goes_on(),
             written_tokens=self._tokens_written(),
-            reads_prompt=self._may_read_apart(),
+            may_use_prefill_runner=self._may_read_apart(),
             waited_s=self._relay.waited_s,
         )
 
@@ -165,7 +165,7 @@
         sends = self._history.sends - self._sends_to_gone
         if sends + 2 > self._route.max_sends:
             return False
-        return self._context.may_send_again(self._service.name)
+        return self._context.take_retry(self._service.name)
 
     def _tokens(self) -> int:
         generation = self._request.generation
@@ -174,7 +174,7 @@
     def _tokens_written(self) -> int:
         engine = self._service.engine
         assert engine is not None
-        return self._relay.count * engine.tokens_per_event
+        return self._relay.event_count * engine.tokens_per_event
 
     def _goes_on(self) -> bool:
         """Return whether a part of the answer is there already."""
@@ -189,7 +189,7 @@
         load = self._context.view.load(runner.runner_id)
         load.requests += 1
         load.tokens += self._tokens()
-        reading = prompt_reading.PromptReading(
+        reading = prompt_prefill.PromptPrefill(
             context=self._context, request=self._request, route=self._route
         )
         call = runner_call.RunnerCall(
@@ -204,11 +204,11 @@
                 failed = await call.connect()
                 if failed is not None:
                     return self._after_failed_connect(runner, failed)
-                source = await reading.read(rooms.prefill)
+                source = await reading.run(rooms.prefill)
                 if source is None:
                     return self._after_failed_reading(rooms.prefill)
                 self._readings += 1
-                places.note_read()
+                places.note_prefill_done()
             return await self._decode(call, source, places, rooms.forecast)
         finally:
             call.close()
@@ -251,20 +251,20 @@
         self._failed_readings += 1
         if self._failed_readings > MAX_READINGS:
             return next_step.Step.REFUSE
-        if not self._context.may_send_again(self._service.name):
+        if not self._context.take_retry(self._service.name):
             return next_step.Step.REFUSE
         return next_step.Step.RETRY
 
     async def _decode(
         self,
         call: runner_call.RunnerCall,
-        source: prompt_reading.Reading | None,
+        source: prompt_prefill.PrefilledPrompt | None,
         places: placement_session.PlacementSession,
         expected: forecast.Forecast | None,
     ) -> next_step.Step:
         context = self._context
         begun_s = _now_s()
-        events_before = self._relay.count
+        events_before = self._relay.event_count
         on_first_event = None
         if source is None or self._goes_on():
             # The decode runner reads at least what was written before.
@@ -273,15 +273,15 @@
             )
         runner = call.runner
         self._tried.add(runner.runner_id)
-        note = dialect_module.SendNote(
-            left_s=context.left_s(self._request, self._route),
+        note = dialect_module.SendOptions(
+            remaining_s=context.remaining_s(self._request, self._route),
             runner_id=runner.runner_id,
             kv_source=source.source if source else None,
             resume_after=self._relay.last_id or None,
         )
-        with context.sending(self._request, runner, part='decode'):
+        with context.log_if_cut(self._request, runner, part='decode'):
             failed = await call.open(self._request, note)
-            context.note_answer_of(call)
+            context.note_rate_limit(call)
             result = failed.result if failed else None
             if failed is None and call.status >= runner_call.HTTP_SERVER_ERROR:
                 result = send_result.SendResult.FAILED
@@ -290,17 +290,17 @@
                     source.taken = True
                 result = await self._relay.run(
                     call,
-                    may_leave=self._history.allows_another_send,
+                    may_switch_runner=self._history.allows_another_send,
                     on_first_event=on_first_event,
                 )
         self._judge(runner, result, source, _now_s() - begun_s)
         if result is send_result.SendResult.ANSWERED:
             self._measure(expected, resumed=events_before > 0)
         if result is send_result.SendResult.BROKEN:
-            await context.note_broken(
+            await context.report_if_crashed(
                 self._request,
                 runner,
-                begun=self._relay.count > events_before,
+                begun=self._relay.event_count > events_before,
             )
         step = self._decide(result)
         context.log_send(
@@ -311,7 +311,7 @@
             took_s=_now_s() - begun_s,
             detail=failed.detail if failed else f'status {call.status}',
             part='decode',
-            events=self._relay.count,
+            events=self._relay.event_count,
             first_event_ms=self._relay.first_event_ms,
             longest_gap_ms=self._relay.longest_gap_ms,
             expected_first_ms=_expected_ms(expected),
@@ -354,7 +354,7 @@
         self,
         runner: runner_info.RunnerInfo,
         result: send_result.SendResult,
-        source: prompt_reading.Reading | None,
+        source: prompt_prefill.PrefilledPrompt | None,
         took_s: float,
     ) -> None:
         """Take note of what a send says of its runner."""
@@ -377,12 +377,12 @@
             self._responder.abort()
             return
         body = await call.read(
-            self._context.left_s(self._request, self._route)
+            self._context.remaining_s(self._request, self._route)
         )
         if isinstance(body, runner_call.SendFailure):
             await self._end(next_step.Step.FAIL, body.detail)
             return
-        await self._responder.whole(
+        await self._responder.write_whole(
             call.status,
             self._context.dialect.caller_headers(call.headers),
             body,
@@ -392,22 +392,22 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            remaining_s=self._context.left_s(self._request, self._route),
+            remaining_s=self._context.remaining_s(self._request, self._route),
             can_retry=self._may_go_on,
         )
 
     def _may_go_on(self) -> bool:
         if not self._history.sends:
             return True
-        return self._context.may_send_again(self._service.name)
+        return self._context.take_retry(self._service.name)
 
     async def _end(
         self,
         step: next_step.Step,
         reason: str,
-        retry_after_s: float = own_answer.RETRY_AFTER_S,
+        retry_after_s: float = local_reply.RETRY_AFTER_S,
     ) -> None:
-        await own_answer.write(
+        await local_reply.write(
             self._context,
             request=self._request,
             route=self._route,
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -42,7 +42,7 @@
             headers=headers,
             body=body,
             received_s=received_s,
-            patience_s=_seconds(headers.get(header_names.DEADLINE_MS)),
+            deadline_s=_seconds(headers.get(header_names.DEADLINE_MS)),
             generation=_generation(
                 headers.get(header_names.TOKEN_USAGE),
                 headers.get(header_names.LENGTH_HINT),
@@ -53,7 +53,7 @@
         )
 
     def runner_headers(
-        self, request: caller_request.CallerRequest, note: dialect.SendNote
+        self, request: caller_request.CallerRequest, note: dialect.SendOptions
     ) -> httputil.HTTPHeaders:
         """Return the headers for a runner."""
         headers = _without(
@@ -61,7 +61,7 @@
             (*header_names.HOP_BY_HOP, *header_names.SYSTEM_ONLY),
         )
         headers.pop('Content-Length', None)
-        left_ms = max(1, int(note.left_s * MILLIS))
+        left_ms = max(1, int(note.remaining_s * MILLIS))
         headers[header_names.DEADLINE_MS] = str(left_ms)
         headers[header_names.EXPECT_INSTANCE] = note.runner_id
         if note.prefill_only:
@@ -73,11 +73,11 @@
             headers[header_names.LAST_EVENT_ID] = note.resume_after
         return headers
 
-    def refused(self, status: int, headers: httputil.HTTPHeaders) -> bool:
+    def is_refusal(self, status: int, headers: httputil.HTTPHeaders) -> bool:
         """Return whether a runner proves that it did not run a request."""
         return header_names.NOT_RUN in headers or status == HTTP_MISDIRECTED
 
-    def misdirected(self, status: int) -> bool:
+    def is_misdirected(self, status: int) -> bool:
         """Return whether another runner than the one meant answers."""
         return status == HTTP_MISDIRECTED
 
@@ -85,7 +85,7 @@
         """Return the limit that a runner names, as it wrote it."""
         return headers.get(header_names.SERVER_LIMIT)
 
-    def belongs(
+    def belongs_to(
         self,
         request: caller_request.CallerRequest,
         headers: httputil.HTTPHeaders,
@@ -100,7 +100,7 @@
         """Return what of a runner's headers the caller gets."""
         return _without(headers, header_names.HOP_BY_HOP)
 
-    def own_headers(
+    def local_reply_headers(
         self, request: caller_request.CallerRequest
     ) -> httputil.HTTPHeaders:
         """Return the headers of an answer of this host's own."""
@@ -119,7 +119,9 @@
             raise ValueError(f'no handle in {body[:80]!r}')
         return handle
 
-    def free_handle(self, handle: str, runner_id: str) -> small_call.SmallCall:
+    def free_handle_call(
+        self, handle: str, runner_id: str
+    ) -> small_call.SmallCall:
         """Return the call that frees a prefill's result."""
         return small_call.SmallCall(
             method='DELETE',
--- a/tests/platform/test_http_dialect.py
+++ b/tests/platform/test_http_dialect.py
@@ -22,7 +22,7 @@
         Last_Event_Id='4',
         Prompt_Prefix='5c1e07a2:800,91bd3f06:410,e4402b7d:250',
     )
-    assert (request.request_id, request.patience_s) == ('q', 1.5)
+    assert (request.request_id, request.deadline_s) == ('q', 1.5)
     assert request.path == '/a/b'
     assert request.generation.prompt_tokens == 1460
     assert request.generation.max_output_tokens == 80
@@ -33,7 +33,7 @@
 
 def test_what_cannot_be_read_counts_as_absent():
     request = read(Deadline_Ms='soon', Token_Usage='many')
-    assert request.patience_s is None
+    assert request.deadline_s is None
     assert request.generation is None
     request = read(Token_Usage='5,6')
     assert request.generation.prompt_id == ''
@@ -46,7 +46,7 @@
         X_Kept='2',
         Transfer_Encoding='chunked',
     )
-    note = dialect.SendNote(left_s=1.25, runner_id='i-1')
+    note = dialect.SendOptions(remaining_s=1.25, runner_id='i-1')
     headers = http_dialect.HttpDialect().runner_headers(request, note)
     assert headers['X-Kept'] == '2'
     assert 'X-Once' not in headers
@@ -58,7 +58,7 @@
 def test_only_a_runners_own_word_proves_that_it_did_not_run():
     known = http_dialect.HttpDialect()
     proof = httputil.HTTPHeaders({'Not-Run': '1'})
-    assert known.refused(503, proof)
-    assert known.refused(421, httputil.HTTPHeaders())
+    assert known.is_refusal(503, proof)
+    assert known.is_refusal(421, httputil.HTTPHeaders())
     for status in (429, 500, 502, 503, 504):
-        assert not known.refused(status, httputil.HTTPHeaders())
+        assert not known.is_refusal(status, httputil.HTTPHeaders())
