--- a/tests/forwarding/large_routes.py
+++ b/tests/forwarding/large_routes.py
@@ -91,7 +91,7 @@
 
 
 async def submit(fleet, version, document):
-    got = await fleet.desk(HOST).submit_routes(
+    got = await fleet.submitter(HOST).submit_routes(
         version=version, digest=digest(document), text=document
     )
     assert got.in_force
