--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -107,12 +107,12 @@
             asyncio.get_running_loop().create_future()
         )
         self._pending[ask.request_id] = _Pending(ask=ask, future=future)
-        scheduler.ask(ask, boot_clock.now_s())
+        scheduler.submit(ask, boot_clock.now_s())
         self._request_pass(ask.service)
         try:
             return await future
         except asyncio.CancelledError:
-            scheduler.withdraw(ask.request_id)
+            scheduler.cancel(ask.request_id)
             raise
         finally:
             self._pending.pop(ask.request_id, None)
@@ -121,7 +121,7 @@
         """Forget a stream whose caller is gone."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.withdraw(request_id)
+            scheduler.cancel(request_id)
 
     def note_prefill_done(
         self, service: str, request_id: str, attempt: int
@@ -129,7 +129,9 @@
         """Take note that a prompt was read apart."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.read(request_id, attempt, boot_clock.now_s())
+            scheduler.note_prefill_done(
+                request_id, attempt, boot_clock.now_s()
+            )
             self._request_pass(service)
 
     def note_first_event(
@@ -139,14 +141,14 @@
         scheduler = self._scheduler(service)
         if scheduler is not None:
             now_s = boot_clock.now_s()
-            scheduler.first_event(request_id, attempt, took_s, now_s)
+            scheduler.note_first_event(request_id, attempt, took_s, now_s)
             self._request_pass(service)
 
     def release(self, service: str, release: placement.Release) -> None:
         """Take a place back."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.end(release, boot_clock.now_s())
+            scheduler.release(release, boot_clock.now_s())
             self._request_pass(service)
 
     def acquire_token(
@@ -181,7 +183,7 @@
         self._note_term()
         scheduler = self._scheduler(ask.service)
         if scheduler is not None:
-            scheduler.adopt(place, ask, boot_clock.now_s())
+            scheduler.restore(place, ask, boot_clock.now_s())
 
     async def _run(self) -> None:
         while True:
@@ -261,7 +263,7 @@
     def _forget_runner(self, runner_id: str) -> None:
         """Forget what was known of a runner that has started again."""
         for scheduler in self._schedulers.values():
-            scheduler.forget_runner(runner_id)
+            scheduler.reset_runner(runner_id)
 
     def _request_pass(self, service: str) -> None:
         """Have a service's streams placed after what is at hand now.
@@ -300,7 +302,7 @@
                     'outcome': type(answer).__name__,
                     **_detail(answer),
                     **(_inputs(pending.ask) if pending else {}),
-                    'held': scheduler.held,
+                    'held': scheduler.reservation_count,
                     'waiting': scheduler.waiting,
                     'tokens_per_s': round(scheduler.tokens_per_s),
                     'term': self._led_term,
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -17,15 +17,15 @@
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.forwarding import scheduler_client
-from limpetroute.routing import last_streams
+from limpetroute.routing import moving_mean
 from limpetroute.routing import next_step
 from limpetroute.routing import retry_budget
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
 from limpetroute.routing import send_result
 from limpetroute.routing import service as service_module
+from limpetroute.routing import shutdown_admission
 from limpetroute.routing import stage_rates
-from limpetroute.routing import usual_size
 
 LOG = logging.getLogger(__name__)
 
@@ -84,7 +84,7 @@
         self.rng = rng
         # When a host that stops breaks off what is still open.
         self.shutdown_s: float | None = None
-        self._speeds: dict[str, usual_size.UsualSize] = {}
+        self._speeds: dict[str, moving_mean.MovingMean] = {}
         self.accepts_calls = True
         self._watch = watch
         self._make_budget = make_budget
@@ -107,10 +107,10 @@
         """Return whether a stream surely ends before this host does."""
         if self.shutdown_s is None:
             return True
-        return last_streams.may_take(
-            most_tokens=generation.max_output_tokens,
+        return shutdown_admission.ends_before_shutdown(
+            max_tokens=generation.max_output_tokens,
             tokens_per_s=self._speed(service).mean,
-            left_s=self.shutdown_s - _now_s(),
+            remaining_s=self.shutdown_s - _now_s(),
         )
 
     def note_speed(
@@ -278,12 +278,14 @@
             },
         )
 
-    def _speed(self, service: service_module.Service) -> usual_size.UsualSize:
+    def _speed(
+        self, service: service_module.Service
+    ) -> moving_mean.MovingMean:
         known = self._speeds.get(service.name)
         if known is None:
             assert service.engine is not None
-            known = self._speeds[service.name] = usual_size.UsualSize(
-                stage_rates.first_write_tokens_per_s(service.engine)
+            known = self._speeds[service.name] = moving_mean.MovingMean(
+                stage_rates.default_decode_tokens_per_s(service.engine)
             )
         return known
 
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -6,16 +6,16 @@
 
 import sortedcontainers
 
+from limpetroute.routing import free_memory_index
+from limpetroute.routing import moving_mean
 from limpetroute.routing import placement
-from limpetroute.routing import read_prompts
-from limpetroute.routing import reading_pause
+from limpetroute.routing import prefill_history
+from limpetroute.routing import prefill_pause
 from limpetroute.routing import reservations
-from limpetroute.routing import room_index
 from limpetroute.routing import runner_info
 from limpetroute.routing import self_prefill_tracker
 from limpetroute.routing import stage_rates
 from limpetroute.routing import stream_times
-from limpetroute.routing import usual_size
 
 # A prompt that holds a runner's streams up for too long is only read where
 # it makes no more of them late than it is itself on time.
@@ -73,21 +73,21 @@
         self,
         *,
         reserved: reservations.Reservations,
-        prompt_size: usual_size.UsualSize,
+        prompt_size: moving_mean.MovingMean,
     ) -> None:
         self._reservations = reserved
         # In the order in which they began.
         self._readings: dict[tuple[str, int], _Reading] = {}
         self._queued: dict[str, int] = {}
         self._readers: dict[str, runner_info.RunnerInfo] = {}
-        self._decoders = room_index.RoomIndex()
+        self._decoders = free_memory_index.FreeMemoryIndex()
         self._order = sortedcontainers.SortedList()
         self._key_of: dict[str, tuple[float, str]] = {}
         self._speeds: dict[str, float] = {}
         self._speed_sum = 0.0
         self._self_reads = self_prefill_tracker.SelfPrefillTracker()
         self._prompt_size = prompt_size
-        self._read_prompts = read_prompts.ReadPrompts()
+        self._read_prompts = prefill_history.PrefillHistory()
         # Readings of prompts in a cache, queued at each prefill runner.
         self._cached: collections.Counter[str] = collections.Counter()
 
@@ -98,13 +98,13 @@
     def tokens_per_s(self) -> float:
         """How fast prefill runners read, as measured."""
         if not self._speeds:
-            return stage_rates.FIRST_READ_TOKENS_PER_S
+            return stage_rates.DEFAULT_PREFILL_TOKENS_PER_S
         return self._speed_sum / len(self._speeds)
 
     def use(
         self,
         readers: typing.Iterable[runner_info.RunnerInfo],
-        decoders: room_index.RoomIndex | None = None,
+        decoders: free_memory_index.FreeMemoryIndex | None = None,
     ) -> None:
         """Take note of the runners that may be given prompts."""
         if decoders is not None:
@@ -138,7 +138,7 @@
 
     def ready_s(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         reader: runner_info.RunnerInfo | None,
         now_s: float,
     ) -> float:
@@ -147,16 +147,16 @@
         if reader is not None:
             queue_s = self.queue_s(reader, now_s)
         has_reader = reader is not None
-        return now_s + queue_s + self.to_first_event_s(ask, has_reader)
+        return now_s + queue_s + self.to_first_event_s(request, has_reader)
 
     def to_first_event_s(
-        self, ask: placement.PlacementRequest, has_reader: bool
+        self, request: placement.PlacementRequest, has_reader: bool
     ) -> float:
         """Return the time from a place to the first event, as measured."""
         if has_reader:
-            read_s = ask.tokens_to_read / self.tokens_per_s
+            read_s = request.prefill_tokens / self.tokens_per_s
             return stream_times.OVERHEAD_S + read_s
-        read_s = ask.tokens_to_read / self.self_read_speed()
+        read_s = request.prefill_tokens / self.self_read_speed()
         return self._self_reads.overhead_s + read_s
 
     def speed(self, reader: runner_info.RunnerInfo | None) -> float:
@@ -173,14 +173,14 @@
 
     def pause_beside_s(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         reader: runner_info.RunnerInfo | None,
     ) -> float:
         """Return the longest time between two events beside its prefill."""
         if reader is not None:
             return 0.0
-        read_s = ask.tokens_to_read / self.self_read_speed()
-        return reading_pause.pause_s(
+        read_s = request.prefill_tokens / self.self_read_speed()
+        return prefill_pause.pause_s(
             read_s,
             event_s=self._event_s,
             pace_beside=self.pace_beside_reading,
@@ -220,16 +220,16 @@
     @property
     def pace_beside_reading(self) -> float:
         """Part of their speed at which streams go on beside a reading."""
-        return reading_pause.pace(self._reservations.tokens_per_s)
+        return prefill_pause.pace(self._reservations.tokens_per_s)
 
     @property
-    def writers_read_well(self) -> bool:
+    def decodes_during_prefill(self) -> bool:
         """Whether streams go on while their runner reads a prompt.
 
         Where they all but stand still, each prompt that a writer reads
         makes an event of all its streams late.
         """
-        return reading_pause.is_good_beside(self.pace_beside_reading)
+        return prefill_pause.is_good_beside(self.pace_beside_reading)
 
     @property
     def self_read_each_s(self) -> float:
@@ -239,21 +239,25 @@
 
     def take(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         reader: runner_info.RunnerInfo | None,
         decoder: runner_info.RunnerInfo,
         now_s: float,
     ) -> None:
         """Take note of who reads a prompt from now on."""
-        own_tokens = ask.written_tokens if reader else ask.tokens_to_read
+        own_tokens = (
+            request.written_tokens if reader else request.prefill_tokens
+        )
         if own_tokens:
             begins_s = 0.0
             if reader is not None:
                 begins_s = self.queue_s(reader, now_s)
-                begins_s += ask.prompt_tokens / self._speed(reader.runner_id)
+                begins_s += request.prompt_tokens / self._speed(
+                    reader.runner_id
+                )
             speed = self.self_read_speed(decoder.runner_id)
             self._self_reads.begin(
-                ask,
+                request,
                 decoder.runner_id,
                 tokens=own_tokens,
                 read_s=begins_s + own_tokens / speed,
@@ -261,16 +265,16 @@
             )
         if reader is None:
             return
-        self._remove((ask.request_id, ask.attempt))
+        self._remove((request.request_id, request.attempt))
         self._lapse(now_s)
-        cached = self._read_prompts.note(reader.runner_id, ask)
+        cached = self._read_prompts.note(reader.runner_id, request)
         self._cached[reader.runner_id] += cached
         ahead = self._queued.get(reader.runner_id, 0)
-        self._queued[reader.runner_id] = ahead + ask.prompt_tokens
-        self._readings[(ask.request_id, ask.attempt)] = _Reading(
+        self._queued[reader.runner_id] = ahead + request.prompt_tokens
+        self._readings[(request.request_id, request.attempt)] = _Reading(
             reader_id=reader.runner_id,
-            tokens=ask.prompt_tokens,
-            queued_tokens=ahead + ask.prompt_tokens,
+            tokens=request.prompt_tokens,
+            queued_tokens=ahead + request.prompt_tokens,
             since_s=now_s,
             cached=cached,
             measures=not self._cached[reader.runner_id],
@@ -328,17 +332,19 @@
         self._remove((request_id, attempt))
         self._self_reads.drop((request_id, attempt))
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Forget what a runner reads and how fast; it has started again."""
         for key, reading in list(self._readings.items()):
             if reading.reader_id == runner_id:
                 self._remove(key)
-        self._read_prompts.forget_runner(runner_id)
+        self._read_prompts.reset_runner(runner_id)
         self._speed_sum -= self._speeds.pop(runner_id, 0.0)
         self._sort(runner_id)
-        self._self_reads.forget_runner(runner_id)
+        self._self_reads.reset_runner(runner_id)
 
-    def is_idle(self, decoder: runner_info.RunnerInfo, now_s: float) -> bool:
+    def may_self_prefill(
+        self, decoder: runner_info.RunnerInfo, now_s: float
+    ) -> bool:
         """Return whether a decode runner may read a prompt now.
 
         Its own streams stand still while it reads: it takes one prompt
@@ -346,9 +352,9 @@
         """
         if not self._reservations.streams(decoder.runner_id):
             return True
-        return self.self_read_s(decoder, now_s) <= now_s
+        return self.self_prefill_free_s(decoder, now_s) <= now_s
 
-    def may_read_long(
+    def may_prefill_long(
         self, decoder: runner_info.RunnerInfo, *, on_time: bool = True
     ) -> bool:
         """Return whether a decode runner may read a prompt of any length.
@@ -363,13 +369,13 @@
         made_late = self._reservations.on_time(decoder.runner_id)
         return made_late <= (MOST_MADE_LATE if on_time else 0)
 
-    def is_long(self, ask: placement.PlacementRequest) -> bool:
+    def exceeds_pause_limit(self, request: placement.PlacementRequest) -> bool:
         """Return whether reading it holds streams up for too long."""
-        limit_s = ask.pause_target_s or USUAL_PAUSE_S
-        pause_s = self.pause_beside_s(ask, None)
-        return reading_pause.is_too_long(pause_s, limit_s)
+        limit_s = request.pause_target_s or USUAL_PAUSE_S
+        pause_s = self.pause_beside_s(request, None)
+        return prefill_pause.is_too_long(pause_s, limit_s)
 
-    def self_read_s(
+    def self_prefill_free_s(
         self, decoder: runner_info.RunnerInfo, now_s: float
     ) -> float:
         """Return when a decode runner has read what it was given."""
--- a/limpetroute/routing/runner_selector.py
+++ b/limpetroute/routing/runner_selector.py
@@ -83,14 +83,17 @@
 
         They are expected to be taken before the next stream is asked for.
         """
-        ask = one.ask
+        ask = one.request
         prefill_runner = (
             self._first_free_prefill_runner() if ask.reads_prompt else None
         )
         if prefill_runner is not None and self._prefill_runner_is_busy:
             # A decode runner with room that reads the prompt itself is
             # slower, but may be done sooner than the queue.
-            if not self._prefill.writers_read_well or not self._idle_runners:
+            if (
+                not self._prefill.decodes_during_prefill
+                or not self._idle_runners
+            ):
                 return None
             ready_s = self._prefill.ready_s(ask, None, self._now_s)
             if ready_s >= self._prefill.ready_s(
@@ -117,7 +120,7 @@
         )
 
     def _free_tokens(self, runner: runner_info.RunnerInfo) -> float:
-        return self._fleet.decoders.free_tokens(runner.runner_id)
+        return self._fleet.decode_runners.free_tokens(runner.runner_id)
 
     def _first_free_prefill_runner(self) -> runner_info.RunnerInfo | None:
         if self._prefill_runner is None:
@@ -135,9 +138,9 @@
     ) -> runner_info.RunnerInfo | None:
         if one.fits_nowhere:
             return self._decode_placement.best_of(
-                one.ask, self._freed, ready_s, self._now_s
+                one.request, self._freed, ready_s, self._now_s
             )
-        found = self._decode_placement.best(one.ask, ready_s, self._now_s)
+        found = self._decode_placement.best(one.request, ready_s, self._now_s)
         one.fits_nowhere = found is None
         return found
 
@@ -146,15 +149,15 @@
     ) -> runner_info.RunnerInfo | None:
         """Return the best decode runner that may read a prompt now."""
         idle = self._idle_runners
-        if self._prefill.is_long(one.ask):
-            on_time = one.is_on_time(ready_s)
+        if self._prefill.exceeds_pause_limit(one.request):
+            on_time = one.meets_targets(ready_s)
             idle = [
                 runner
                 for runner in idle
-                if self._prefill.may_read_long(runner, on_time=on_time)
+                if self._prefill.may_prefill_long(runner, on_time=on_time)
             ]
         return self._decode_placement.best_of(
-            one.ask, idle, ready_s, self._now_s
+            one.request, idle, ready_s, self._now_s
         )
 
     @property
@@ -163,7 +166,7 @@
         if self._idle is None:
             self._idle = [
                 one
-                for _, one in self._fleet.decoders.most_free()
-                if self._prefill.is_idle(one, self._now_s)
+                for _, one in self._fleet.decode_runners.by_free_memory()
+                if self._prefill.may_self_prefill(one, self._now_s)
             ]
         return self._idle
--- a/limpetroute/routing/self_prefill.py
+++ b/limpetroute/routing/self_prefill_index.py
@@ -7,7 +7,7 @@
 from limpetroute.routing import prefill_queue
 
 
-class SelfPrefill:
+class SelfPrefillIndex:
     """The decode runners with room, and when each may read a prompt.
 
     Parameters
@@ -30,12 +30,12 @@
         self.has_quiet = False
         self._all = _Soonest()
         self._quiet = _Soonest()
-        for free, runner in fleet.decoders.most_free():
-            is_quiet = prefill.may_read_long(runner)
+        for free, runner in fleet.decode_runners.by_free_memory():
+            is_quiet = prefill.may_prefill_long(runner)
             self.has_quiet = self.has_quiet or is_quiet
             if free <= 0:
                 continue
-            at_s = prefill.self_read_s(runner, now_s)
+            at_s = prefill.self_prefill_free_s(runner, now_s)
             self._all.add(free, at_s)
             if is_quiet:
                 self._quiet.add(free, at_s)
--- a/limpetroute/routing/self_prefill_tracker.py
+++ b/limpetroute/routing/self_prefill_tracker.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from limpetroute.routing import placement
-from limpetroute.routing import read_prompts
+from limpetroute.routing import prefill_history
 from limpetroute.routing import recent_samples
 from limpetroute.routing import stream_times
 
@@ -50,7 +50,7 @@
         self._free_s: dict[str, float] = {}
         self._speeds: dict[str, recent_samples.RecentSamples] = {}
         self._overheads = recent_samples.RecentSamples(stream_times.OVERHEAD_S)
-        self._read_prompts = read_prompts.ReadPrompts()
+        self._read_prompts = prefill_history.PrefillHistory()
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(readings={len(self._readings)!r})'
@@ -76,7 +76,7 @@
 
     def begin(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         runner_id: str,
         *,
         tokens: int,
@@ -98,8 +98,8 @@
         now_s : float
             A steady clock.
         """
-        key = (ask.request_id, ask.attempt)
-        was_read = self._read_prompts.note(runner_id, ask)
+        key = (request.request_id, request.attempt)
+        was_read = self._read_prompts.note(runner_id, request)
         overdue_s = max(LEAST_OVERDUE_S, read_s * OVERDUE_FACTOR)
         self._readings[key] = _Reading(
             runner_id=runner_id,
@@ -107,7 +107,7 @@
             ends_s=now_s + read_s,
             lapses_s=now_s + overdue_s,
             # Of a resumed stream, some runner has the prompt in its cache.
-            measures=not was_read and not ask.goes_on,
+            measures=not was_read and not request.goes_on,
         )
         self._of_runner[runner_id] = key
 
@@ -152,7 +152,7 @@
         if reading is not None:
             self._end(key, 0.0)
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Forget what a runner reads and how fast; it has started again."""
         for key, reading in list(self._readings.items()):
             if reading.runner_id == runner_id:
@@ -160,7 +160,7 @@
         self._of_runner.pop(runner_id, None)
         self._free_s.pop(runner_id, None)
         self._speeds.pop(runner_id, None)
-        self._read_prompts.forget_runner(runner_id)
+        self._read_prompts.reset_runner(runner_id)
 
     def free_s(self, runner_id: str, now_s: float) -> float:
         """Return when a runner may read the next prompt."""
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -7,7 +7,7 @@
 from limpetroute.routing import placement
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
-from limpetroute.routing import self_prefill
+from limpetroute.routing import self_prefill_index
 
 # Slots that are looked at beyond one for each waiting stream.
 MORE_ENDS = 16
@@ -47,7 +47,7 @@
         self._waiting = 0
         self._ends_s: list[float] | None = None
         self._queue_s: float | None = None
-        self._self_readers: self_prefill.SelfPrefill | None = None
+        self._self_readers: self_prefill_index.SelfPrefillIndex | None = None
         self._quiet_at_s: float | None = None
 
     def __repr__(self) -> str:
@@ -72,28 +72,31 @@
         self._ends_s = None
         self._queue_s = None
         self._quiet_at_s = None
-        if full or len(self._fleet.decoders) <= prefill_queue.FEW_RUNNERS:
+        if (
+            full
+            or len(self._fleet.decode_runners) <= prefill_queue.FEW_RUNNERS
+        ):
             self._self_readers = None
 
-    def can_be_read(self, ask: placement.PlacementRequest) -> bool:
+    def can_be_read(self, request: placement.PlacementRequest) -> bool:
         """Return whether some runner may read a prompt once it is free."""
-        if ask.reads_prompt and self._fleet.readers:
+        if request.reads_prompt and self._fleet.prefill_runners:
             return True
-        if not self._prefill.is_long(ask):
-            return bool(self._fleet.decoders)
+        if not self._prefill.exceeds_pause_limit(request):
+            return bool(self._fleet.decode_runners)
         return self._self_reading.has_quiet
 
     def turn_s(
-        self, ask: placement.PlacementRequest, ahead: int, has_room: bool
+        self, request: placement.PlacementRequest, ahead: int, has_room: bool
     ) -> float:
         """Return when a stream gets its place, after those ahead."""
-        if not self.can_be_read(ask):
+        if not self.can_be_read(request):
             return self._quiet_s()
-        if not self._fleet.readers or not ask.reads_prompt:
-            return min(self.place_s(ahead), self._self_read_s(ask, ahead))
+        if not self._fleet.prefill_runners or not request.reads_prompt:
+            return min(self.place_s(ahead), self._self_read_s(request, ahead))
         queue_s = self._queue_turn_s(ahead)
-        if self._prefill.writers_read_well:
-            queue_s = min(queue_s, self._self_read_s(ask, ahead))
+        if self._prefill.decodes_during_prefill:
+            queue_s = min(queue_s, self._self_read_s(request, ahead))
         if has_room:
             return queue_s
         return max(queue_s, self.place_s(ahead))
@@ -115,46 +118,47 @@
             self._queue_s = 0.0
             if first is not None:
                 self._queue_s = self._prefill.queue_s(first, self._now_s)
-        each_s = self._prefill.read_each_s / len(self._fleet.readers)
+        each_s = self._prefill.read_each_s / len(self._fleet.prefill_runners)
         longest_s = prefill_queue.LONGEST_QUEUE_S
         wait_s = self._queue_s - longest_s + ahead * each_s
         return self._now_s + max(0.0, wait_s)
 
     def _self_read_s(
-        self, ask: placement.PlacementRequest, ahead: int
+        self, request: placement.PlacementRequest, ahead: int
     ) -> float:
         """Return when a decode runner with room may read a prompt.
 
         Such a runner has slots, but reads one prompt at a time: it is
         waited for, not for the end of one of its streams.
         """
-        if len(self._fleet.decoders) <= prefill_queue.FEW_RUNNERS:
-            soonest_s, count = self._soonest_with_room(ask)
+        if len(self._fleet.decode_runners) <= prefill_queue.FEW_RUNNERS:
+            soonest_s, count = self._soonest_with_room(request)
         else:
             soonest_s, count = self._self_reading.soonest(
-                ask.tokens_to_read, only_quiet=self._prefill.is_long(ask)
+                request.prefill_tokens,
+                only_quiet=self._prefill.exceeds_pause_limit(request),
             )
         if not count:
             return math.inf
         return soonest_s + ahead * self._prefill.self_read_each_s / count
 
     def _soonest_with_room(
-        self, ask: placement.PlacementRequest
+        self, request: placement.PlacementRequest
     ) -> tuple[float, int]:
         """Return when the first with room may read, and how many have it."""
-        only_quiet = self._prefill.is_long(ask)
+        only_quiet = self._prefill.exceeds_pause_limit(request)
         found_s = [
-            self._prefill.self_read_s(runner, self._now_s)
-            for runner in self._fleet.decoders
-            if not (only_quiet and not self._prefill.may_read_long(runner))
-            and self._decode_placement.fits(ask, runner, self._now_s)
+            self._prefill.self_prefill_free_s(runner, self._now_s)
+            for runner in self._fleet.decode_runners
+            if not (only_quiet and not self._prefill.may_prefill_long(runner))
+            and self._decode_placement.fits(request, runner, self._now_s)
         ]
         return min(found_s, default=math.inf), len(found_s)
 
     @property
-    def _self_reading(self) -> self_prefill.SelfPrefill:
+    def _self_reading(self) -> self_prefill_index.SelfPrefillIndex:
         if self._self_readers is None:
-            self._self_readers = self_prefill.SelfPrefill(
+            self._self_readers = self_prefill_index.SelfPrefillIndex(
                 prefill=self._prefill,
                 fleet=self._fleet,
                 now_s=self._now_s,
@@ -169,7 +173,7 @@
         """
         if self._quiet_at_s is None:
             quiet_s = []
-            for runner in self._fleet.decoders:
+            for runner in self._fleet.decode_runners:
                 ends_s = self._reservations.on_time_ends_s(
                     runner.runner_id, self._now_s
                 )
