--- a/tests/dispatch/test_leader_keeps_its_term.py
+++ b/tests/dispatch/test_leader_keeps_its_term.py
@@ -50,7 +50,7 @@
         counter = work_counter.WorkCounter()
         with counter.counting():
             for _ in range(round(STREAMS_PER_S * cluster_module.MICRO_STEP_S)):
-                self.fleet.ask()
+                self.fleet.submit()
                 self.fleet.decide()
                 self.fleet.end()
                 self.fleet.decide()
