--- a/limpetroute/cli/control.py
+++ b/limpetroute/cli/control.py
@@ -21,10 +21,10 @@
 from limpetroute.cli import exit_code
 from limpetroute.cli import serving
 from limpetroute.control import folder_error
-from limpetroute.control import metrics_part
-from limpetroute.control import part
+from limpetroute.control import metrics_component
 from limpetroute.control import server
-from limpetroute.dispatch import part as dispatch_part
+from limpetroute.control import server_component
+from limpetroute.dispatch import dispatch_component
 from limpetroute.platform import control_port
 from limpetroute.platform import orders
 
@@ -48,23 +48,23 @@
 def _make(
     settings: control_settings.ControlSettings,
 ) -> server.ControlServer:
-    parts: list[part.MakePart] = []
+    parts: list[server_component.MakeComponent] = []
     if settings.public_listen is not None:
         parts = [
             functools.partial(
                 control_port.ControlPort, listen=settings.public_listen
             ),
             functools.partial(
-                dispatch_part.DispatchPart, dialect=orders.Orders()
+                dispatch_component.DispatchComponent, codec=orders.Orders()
             ),
         ]
     if settings.metrics is not None:
         parts.append(
             functools.partial(
-                metrics_part.MetricsPart, listen=settings.metrics
+                metrics_component.MetricsComponent, listen=settings.metrics
             )
         )
-    return server.ControlServer(settings=settings, make_parts=parts)
+    return server.ControlServer(settings=settings, make_components=parts)
 
 
 def _print_ready(control: server.ControlServer) -> None:
--- a/limpetroute/control/http_claim_book.py
+++ b/limpetroute/control/http_claim_store.py
@@ -4,16 +4,16 @@
 import logging
 import secrets
 
-from limpetroute.control import claim_book
+from limpetroute.control import claim_store
 from limpetroute.control import control_client
 
 LOG = logging.getLogger(__name__)
 
-WITHDRAW_TRY_S = 10.0
+WITHDRAW_TIMEOUT_S = 10.0
 MAX_WITHDRAWALS = 10_000
 
 
-class HttpClaimBook:
+class HttpClaimStore:
     """The claim book that asks the control hosts.
 
     A grant whose answer was lost is withdrawn before its key may be
@@ -41,17 +41,17 @@
         body_digest: str,
         holder: str,
         timeout_s: float,
-    ) -> claim_book.ClaimVerdict:
+    ) -> claim_store.ClaimResult:
         """Claim a call before anything of it is sent."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + timeout_s
         if not await self._withdrawn(team, key, timeout_s):
-            return claim_book.ClaimNotMade(
+            return claim_store.ClaimNotMade(
                 reason='an earlier claim is being withdrawn'
             )
         token = secrets.token_hex(12)
         try:
-            got = await self._client.ask(
+            got = await self._client.post(
                 path='/v1/claims',
                 body={
                     'team': team,
@@ -66,10 +66,10 @@
             self._withdraw(team, key, token)
             raise
         if isinstance(got, control_client.NotRun):
-            return claim_book.ClaimNotMade(reason=got.reason)
+            return claim_store.ClaimNotMade(reason=got.reason)
         if isinstance(got, control_client.Unknown):
             self._withdraw(team, key, token)
-            return claim_book.ClaimNotMade(reason=got.reason)
+            return claim_store.ClaimNotMade(reason=got.reason)
         return self._verdict(got, team, key, token)
 
     async def settle(
@@ -82,7 +82,7 @@
         timeout_s: float,
     ) -> bool:
         """Write the outcome; return whether a quorum has it."""
-        got = await self._client.ask(
+        got = await self._client.post(
             path='/v1/claims/settle',
             body={'team': team, 'key': key, 'status': status, 'body': body},
             timeout_s=timeout_s,
@@ -98,18 +98,18 @@
 
     def _verdict(
         self, got: control_client.Answered, team: str, key: str, token: str
-    ) -> claim_book.ClaimVerdict:
+    ) -> claim_store.ClaimResult:
         outcome = got.body.get('outcome')
         if outcome == 'granted':
-            return claim_book.ClaimGranted(fence=int(got.body['fence']))
+            return claim_store.ClaimGranted(fence=int(got.body['fence']))
         if outcome == 'found':
-            return claim_book.ClaimFound(
+            return claim_store.ClaimFound(
                 same_body=bool(got.body['same_body']),
                 status=int(got.body['status']) or None,
                 body=str(got.body['body']),
             )
         reason = '; '.join(got.body.get('errors', [])) or str(outcome)
-        return claim_book.ClaimNotMade(reason=reason)
+        return claim_store.ClaimNotMade(reason=reason)
 
     async def _withdrawn(self, team: str, key: str, timeout_s: float) -> bool:
         task = self._withdrawals.get((team, key))
@@ -134,10 +134,10 @@
     async def _try_withdraw(self, team: str, key: str, token: str) -> None:
         body = {'team': team, 'key': key, 'token': token}
         while True:
-            got = await self._client.ask(
+            got = await self._client.post(
                 path='/v1/claims/withdraw',
                 body=body,
-                timeout_s=WITHDRAW_TRY_S,
+                timeout_s=WITHDRAW_TIMEOUT_S,
             )
             if isinstance(got, control_client.Answered):
                 del self._withdrawals[team, key]
--- a/limpetroute/control/manifest_handler.py
+++ b/limpetroute/control/manifest_handler.py
@@ -77,7 +77,7 @@
         group = self.node.config
         newest = group.state.newest
         number = newest.number if newest else 0
-        in_touch = group.replica.in_touch(self.node.now_s)
+        in_touch = group.replica.has_active_leader(self.node.now_s)
         text = newest.text if newest and number > after else 'null'
         self.set_header('Content-Type', 'application/json')
         self.finish(
@@ -109,7 +109,7 @@
         until_s = self.node.now_s + wait_s
         while True:
             behind = self.node.reports.behind(number)
-            away = self.node.reports.away(self.node.now_s)
+            away = self.node.reports.unresponsive(self.node.now_s)
             if not set(behind) - set(away) or self.node.now_s >= until_s:
                 return behind
             await asyncio.sleep(LOOK_S)
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -9,8 +9,8 @@
 from limpetroute.control import control_client
 from limpetroute.forwarding import caller_request
 from limpetroute.routing import quarantine
+from limpetroute.routing import runner_incarnation
 from limpetroute.routing import runner_info
-from limpetroute.routing import runner_life
 from limpetroute.wire import caller
 
 LOG = logging.getLogger(__name__)
@@ -68,7 +68,7 @@
         self._fleet_wide: frozenset[str] = frozenset()
         self._waits_until_s: dict[str, float] = {}
         self._unreported: collections.OrderedDict[
-            runner_life.RunnerLife, dict[str, bool]
+            runner_incarnation.RunnerIncarnation, dict[str, bool]
         ] = collections.OrderedDict()
         self._unreported_clears: dict[str, None] = {}
         self._task: asyncio.Task[None] | None = None
@@ -77,7 +77,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(requests={len(self._fleet_wide)!r})'
 
-    def receive(self, fingerprints: typing.Iterable[str]) -> None:
+    def update(self, fingerprints: typing.Iterable[str]) -> None:
         """Take the fleet's quarantined requests."""
         received = frozenset(fingerprints)
         removed = self._fleet_wide - received
@@ -94,7 +94,7 @@
             )
         self._fleet_wide = received
 
-    def holds(self, request: caller_request.CallerRequest) -> bool:
+    def is_quarantined(self, request: caller_request.CallerRequest) -> bool:
         """Return whether a request is quarantined."""
         if not self._fleet_wide and not self._own:
             return False
@@ -114,13 +114,15 @@
         begun: bool,
     ) -> None:
         """Take note of a request under which a runner crashed."""
-        life = runner.life
+        life = runner.incarnation
         fingerprint = request.fingerprint
-        suspect = quarantine.Suspect(fingerprint=fingerprint, begun=begun)
+        suspect = quarantine.Suspect(
+            fingerprint=fingerprint, answer_begun=begun
+        )
         self._own.note_crash(life, [suspect])
         self._unreported_clears.pop(fingerprint, None)
         unreported = self._unreported.setdefault(life, {})
-        if len(unreported) < quarantine.KEPT_SUSPECTS:
+        if len(unreported) < quarantine.MAX_SUSPECTS_PER_CRASH:
             unreported[fingerprint] = begun
         while len(self._unreported) > MAX_UNREPORTED:
             self._unreported.popitem(last=False)
@@ -131,7 +133,7 @@
         if not self._fleet_wide and not self._own:
             return
         fingerprint = request.fingerprint
-        known = fingerprint in self._fleet_wide or self._own.suspects(
+        known = fingerprint in self._fleet_wide or self._own.is_suspect(
             fingerprint
         )
         if not known:
@@ -144,7 +146,7 @@
             self._unreported_clears[fingerprint] = None
         self._report()
 
-    async def ask_trial(
+    async def request_trial(
         self, request: caller_request.CallerRequest
     ) -> Verdict:
         """Ask whether a quarantined request may be sent once more."""
@@ -156,7 +158,7 @@
             # Asked before its crashes are known there, it would pass for
             # one that was never quarantined.
             return Verdict(allowed=False, wait_s=UNSURE_WAIT_S)
-        got = await self._ask(
+        got = await self._call(
             '/v1/quarantine/trial', {'fingerprint': fingerprint}
         )
         if got is None:
@@ -182,7 +184,7 @@
         for one, until_s in list(self._waits_until_s.items()):
             if until_s <= now_s:
                 del self._waits_until_s[one]
-        if len(self._waits_until_s) < quarantine.KEPT_REQUESTS:
+        if len(self._waits_until_s) < quarantine.MAX_QUARANTINED_REQUESTS:
             self._waits_until_s[fingerprint] = now_s + wait_s
         return Verdict(allowed=False, wait_s=wait_s)
 
@@ -208,7 +210,7 @@
                     del self._unreported[life]
             return True
         fingerprint = next(iter(self._unreported_clears))
-        got = await self._ask(
+        got = await self._call(
             '/v1/quarantine/clear', {'fingerprint': fingerprint}
         )
         if got is None:
@@ -219,7 +221,7 @@
     async def _report_crashes(
         self,
         crashes: typing.Mapping[
-            runner_life.RunnerLife, typing.Mapping[str, bool]
+            runner_incarnation.RunnerIncarnation, typing.Mapping[str, bool]
         ],
     ) -> bool:
         rows = [
@@ -230,9 +232,9 @@
             }
             for life, suspects in crashes.items()
         ]
-        return await self._ask('/v1/crashes', {'crashes': rows}) is not None
+        return await self._call('/v1/crashes', {'crashes': rows}) is not None
 
-    async def _ask(
+    async def _call(
         self, path: str, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any] | None:
         """Return the group's answer, or None if there was none."""
@@ -240,9 +242,9 @@
         if not urls:
             return None
         client = control_client.ControlClient(
-            urls=urls, http=self._http, try_s=CALL_TIMEOUT_S / 2
+            urls=urls, http=self._http, attempt_timeout_s=CALL_TIMEOUT_S / 2
         )
-        got = await client.ask(path=path, body=body, timeout_s=CALL_TIMEOUT_S)
+        got = await client.post(path=path, body=body, timeout_s=CALL_TIMEOUT_S)
         if isinstance(got, control_client.Answered):
             self._failed_asks = 0
             if got.status == HTTP_BAD_REQUEST:
--- a/limpetroute/forwarding/quarantine_gate.py
+++ b/limpetroute/forwarding/quarantine_gate.py
@@ -28,12 +28,12 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
-    def is_shut(self) -> bool:
+    def is_closed(self) -> bool:
         """Return whether it surely may not be sent now.
 
         Asked before anything is reserved for it.
         """
-        if not self._client.holds(self._request):
+        if not self._client.is_quarantined(self._request):
             return False
         self.retry_after_s = self._client.wait_s(self._request)
         return self.retry_after_s > 0.0
@@ -44,8 +44,8 @@
         Asked before each send: a request may have waited for its turn
         while it crashed runners elsewhere, and a trial is one send.
         """
-        if not self._client.holds(self._request):
+        if not self._client.is_quarantined(self._request):
             return True
-        verdict = await self._client.ask_trial(self._request)
+        verdict = await self._client.request_trial(self._request)
         self.retry_after_s = verdict.wait_s
         return verdict.allowed
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -144,10 +144,10 @@
                 ejected_prefill = {
                     one
                     for one in ejected_prefill
-                    if self._outliers.seemed_gone_s(one, now_s)
+                    if self._outliers.runner_gone_s(one, now_s)
                 }
             else:
                 ejected_prefill = set()
-        return ejected_decode, ejected_prefill | self._limits.spent(
+        return ejected_decode, ejected_prefill | self._limits.exhausted(
             prefill_runners, now_s
         )
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -14,9 +14,9 @@
 from limpetroute.routing import pool_sizing
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
-from limpetroute.routing import runner_choice
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_limits
+from limpetroute.routing import runner_selector
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
 from limpetroute.routing import wait_estimate
@@ -173,7 +173,7 @@
         """
         self._reservations.reset_runner(runner_id)
         self._prefill.reset_runner(runner_id)
-        self._outliers.forget(runner_id)
+        self._outliers.reset(runner_id)
 
     def submit(
         self, request: placement.PlacementRequest, now_s: float
@@ -222,7 +222,7 @@
             request_id, attempt, now_s
         )
         if prefill_id is not None:
-            self._outliers.went_well(prefill_id)
+            self._outliers.note_success(prefill_id)
 
     def release(self, end: placement.Release, now_s: float) -> None:
         """Release a placement and learn from how the stream ended."""
@@ -232,14 +232,16 @@
             self._admission.note_release(now_s)
         for runner_id in end.full:
             seen = self._reservations.stream_count(runner_id)
-            self._outliers.full(runner_id, self._engine.slots - seen, now_s)
+            self._outliers.note_full(
+                runner_id, self._engine.slots - seen, now_s
+            )
         for runner_id in end.failed:
-            self._outliers.failed(runner_id, now_s)
+            self._outliers.note_failure(runner_id, now_s)
         if placed is not None and end.whole and not end.failed:
             # A stream that its caller gave up shows nothing about the decode
             # runner. No stream counts as a success of its prefill runner: that
             # prefill ended seconds ago, and the runner may have failed since.
-            self._outliers.went_well(placed.decode_id)
+            self._outliers.note_success(placed.decode_id)
 
     def restore(
         self,
@@ -313,7 +315,7 @@
         self._fleet.update(now_s)
         freed = self._fleet.by_free_memory(self._reservations.take_freed())
         max_checks = self._decode_placement.fit_checks + MAX_FIT_CHECKS
-        choice = runner_choice.RunnerChoice(
+        choice = runner_selector.RunnerSelector(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
             fleet=self._fleet,
@@ -353,27 +355,29 @@
     def _place(
         self,
         one: waiting_stream.WaitingStream,
-        chosen: runner_choice.Chosen,
+        chosen: runner_selector.ChosenRunners,
         now_s: float,
     ) -> placement.Placement:
         if self._can_meet_target(one, now_s):
             self._in_time_in_a_row += 1
         else:
             self._in_time_in_a_row = 0
-        prefill_runner = chosen.reader
+        prefill_runner = chosen.prefill_runner
         expected = self._forecast(one, chosen, now_s)
         placed = placement.Placement(
             request_id=one.request_id,
-            decode_id=chosen.decoder.runner_id,
+            decode_id=chosen.decode_runner.runner_id,
             prefill_id=prefill_runner.runner_id if prefill_runner else '',
             forecast=expected,
         )
-        self._limits.take(chosen.decoder.runner_id, now_s)
+        self._limits.take(chosen.decode_runner.runner_id, now_s)
         if prefill_runner is not None:
             self._limits.take(prefill_runner.runner_id, now_s)
         self._waiting.remove(one.request_id)
         self._admission.note_served(one.request, now_s)
-        self._prefill.add(one.request, prefill_runner, chosen.decoder, now_s)
+        self._prefill.add(
+            one.request, prefill_runner, chosen.decode_runner, now_s
+        )
         if prefill_runner is None and self._prefill.exceeds_pause_limit(
             one.request
         ):
@@ -391,18 +395,20 @@
     def _forecast(
         self,
         one: waiting_stream.WaitingStream,
-        chosen: runner_choice.Chosen,
+        chosen: runner_selector.ChosenRunners,
         now_s: float,
     ) -> forecast.Forecast:
-        decode_id = chosen.decoder.runner_id
+        decode_id = chosen.decode_runner.runner_id
         return forecast.Forecast(
             queued_s=now_s - one.sent_s - one.request.waited_s,
             first_event_s=chosen.ready_s - one.sent_s,
             in_time=one.meets_targets(chosen.ready_s),
             beside=self._reservations.stream_count(decode_id),
-            pause_s=self._prefill.pause_beside_s(one.request, chosen.reader),
+            pause_s=self._prefill.pause_beside_s(
+                one.request, chosen.prefill_runner
+            ),
             read_tokens_per_s=self._prefill.prefill_tokens_per_s(
-                chosen.reader
+                chosen.prefill_runner
             ),
         )
 
--- a/tests/routing/full_fleet.py
+++ b/tests/routing/full_fleet.py
@@ -62,7 +62,9 @@
 
     def submit(self):
         self.request_count += 1
-        self.scheduler.submit(self._request(f's{self.request_count}'), self.now_s)
+        self.scheduler.submit(
+            self._request(f's{self.request_count}'), self.now_s
+        )
 
     def release(self):
         end = placement.Release(
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -43,9 +43,9 @@
         now_s = step * 0.05
         name = f'{rng.choice("dp")}{rng.randrange(4)}'
         if rng.random() < 0.2:
-            known.outliers.failed(name, now_s)
+            known.outliers.note_failure(name, now_s)
         elif rng.random() < 0.2:
-            known.outliers.went_well(name)
+            known.outliers.note_success(name)
         changing = {'d7'} if step % 50 < 10 else set()
         known.refresh(now_s, changing)
         for stage, usable in (
@@ -74,7 +74,7 @@
     for decode_runners in (45, 900):
         known = Known(decode_runners)
         known.refresh(0.0)
-        known.outliers.failed('d1', 0.0)
+        known.outliers.note_failure('d1', 0.0)
         counter = work_counter.WorkCounter()
         with counter.counting():
             assert known.refresh(0.1)
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -39,15 +39,13 @@
             gone = f'd{rng.randrange(6)}'
             reserved.reset_runner(gone)
             here = {
-                name: reserved
-                for name, reserved in here.items()
-                if reserved[0].decode_id != gone
+                name: entry
+                for name, entry in here.items()
+                if entry[0].decode_id != gone
             }
         reserved.expire(now_s)
         here = {
-            name: reserved
-            for name, reserved in here.items()
-            if reserved[1] >= now_s
+            name: entry for name, entry in here.items() if entry[1] >= now_s
         }
         assert len(reserved) == len(here)
         ends_s = reserved.next_ends_s(1000, now_s)
@@ -56,7 +54,7 @@
         assert ends_s == sorted(ends_s)
         for n in range(6):
             count = sum(
-                reserved[0].decode_id == f'd{n}' for reserved in here.values()
+                entry[0].decode_id == f'd{n}' for entry in here.values()
             )
             assert reserved.stream_count(f'd{n}') == count
             profile = reserved.profile(f'd{n}', now_s)
