--- a/tests/routing/full_fleet.py
+++ b/tests/routing/full_fleet.py
@@ -1,4 +1,4 @@
-"""A large fleet in a burst."""
+"""A large fleet under a burst of streams."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 from limpetroute.routing import stream_scheduler
 from tests.routing import builders
 
-# Events of eight tokens and memory for some seven streams of a runner.
+# Events of eight tokens, and memory for about seven streams per runner.
 ENGINE = dataclasses.replace(
     builders.ENGINE, slots=64, memory_tokens=38_404, tokens_per_event=8
 )
--- a/tests/routing/stream_play.py
+++ b/tests/routing/stream_play.py
@@ -13,7 +13,7 @@
 TOKENS_PER_S = 1300.0
 PATIENCE_S = 14.0
 TARGET_S = 0.9
-# Callers wait as told, up to this part of the time they have left.
+# Callers honor a Retry-After up to this share of their remaining time.
 HONORED_SHARE = 1 / 3
 
 
@@ -34,7 +34,7 @@
 
 
 class StreamPlay:
-    """A base load, a burst, and callers that come back once."""
+    """A base load, a burst, and callers that retry once."""
 
     def __init__(
         self, seed, *, decode_runners, base, peak, burst, until_s=30.0
@@ -133,7 +133,7 @@
 
 
 def totals(**load):
-    """Return the counts over eight seeds."""
+    """Return the sum of the counts over eight seeds."""
     counts = collections.Counter()
     for seed in range(8):
         counts.update(StreamPlay(seed, **load).run())
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -17,8 +17,8 @@
     )
 
 
-def come_back(admitted, *, refused, served):
-    """Have callers be refused and come back; some are refused again."""
+def reject_and_retry(admitted, *, refused, served):
+    """Reject callers and let them retry; some retries are rejected again."""
     for n in range(refused + served):
         first = make_stream(f'{n}', 0.0, 0.0)
         admitted.reject(first, 0.5, 0.0)
@@ -30,24 +30,24 @@
             admitted.reject(again, 4.5, 4.0)
 
 
-# Guards against callers that are told a time at which they are refused
-# again, as most before them were.
+# Guards against a delay after which callers are rejected again, as most
+# callers before them were.
 def test_callers_unlikely_to_be_placed_are_not_told_to_retry():
     admitted = admission.Admission()
-    come_back(admitted, refused=9, served=1)
+    reject_and_retry(admitted, refused=9, served=1)
     got = admitted.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
     assert got.retry_after_s >= PATIENCE_S
 
 
 def test_callers_likely_to_be_placed_get_a_short_delay():
     admitted = admission.Admission()
-    come_back(admitted, refused=4, served=6)
+    reject_and_retry(admitted, refused=4, served=6)
     got = admitted.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
     assert got.retry_after_s <= PATIENCE_S / 3
 
 
 def test_old_outcomes_expire():
     admitted = admission.Admission()
-    come_back(admitted, refused=9, served=1)
+    reject_and_retry(admitted, refused=9, served=1)
     got = admitted.reject(make_stream('new', 20.0, 20.0), 20.5, 20.0)
     assert got.retry_after_s <= PATIENCE_S / 3
--- a/tests/routing/test_decode_placement.py
+++ b/tests/routing/test_decode_placement.py
@@ -1,4 +1,4 @@
-"""The runner that is chosen by index against a look at every runner."""
+"""Compares the runner chosen by index with a check of every runner."""
 
 import random
 
@@ -56,7 +56,7 @@
         )
 
     def expected(self, request):
-        """Return the best rank over all runners, looked at one by one."""
+        """Return the best rank over all runners, checked one by one."""
         forecast = self.reserved.forecast_memory(request, NOW_S)
         best = None
         for runner in self.runners:
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_the_index_finds_the_runner_with_most_memory_left(seed):
-    """Runners that are passed over unseen must not be better ones."""
+    """Runners that the search skips must not rank higher."""
     placing = Placing(seed)
     for _ in range(300):
         request = placing.request()
@@ -107,7 +107,7 @@
 
 
 def test_a_full_fleet_is_not_checked_runner_by_runner():
-    """Each waiting stream was worked out for every runner on every event."""
+    """Each waiting stream was checked against every runner on every event."""
     placing = Placing(1)
     while True:
         request = placing.request()
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -1,4 +1,4 @@
-"""Which runners may be used, as they fail and come back."""
+"""Usable runners while runners fail and recover."""
 
 import random
 
@@ -36,7 +36,7 @@
 
 
 def test_failing_runners_are_ejected_and_readmitted():
-    """A runner that is left out for good, or never, loses its streams."""
+    """A runner that is ejected for good, or never, loses its streams."""
     rng = random.Random(5)
     known = Known(8)
     for step in range(600):
@@ -69,7 +69,7 @@
 
 
 def test_an_ejection_costs_no_more_on_a_larger_fleet():
-    """One runner that failed had the order of all others made anew."""
+    """One failing runner caused the order of all others to be rebuilt."""
     lines = []
     for decode_runners in (45, 900):
         known = Known(decode_runners)
--- a/tests/routing/test_length_estimate.py
+++ b/tests/routing/test_length_estimate.py
@@ -1,4 +1,4 @@
-"""What callers say of the length of their answers, and what comes."""
+"""Callers' estimates of the length of their answers, and their correction."""
 
 import math
 import random
@@ -20,7 +20,7 @@
 
 
 def error(rng, estimate, *, sigma):
-    """Return the mean error of the logarithm, corrected and as said."""
+    """Return the mean log error of the corrected and the raw estimates."""
     corrected = 0.0
     uncorrected = 0.0
     for _ in range(500):
@@ -35,10 +35,10 @@
 
 
 def test_estimates_that_are_far_off_are_corrected():
-    """Estimates are off by half; a runner is planned full by them.
+    """Estimates are off by half, and a runner's plan is filled with them.
 
-    Answers outgrow their plan, and the newest stream is pushed out in
-    the middle of its answer.
+    Answers outgrow their plan, and the newest stream is preempted in the
+    middle of its answer.
     """
     rng = random.Random(5)
     estimate = learned(rng, answers=200, sigma=0.5)
@@ -67,7 +67,7 @@
 
 
 def test_identical_estimates_still_give_the_mean_length():
-    """Callers that give none are taken to say the most, all alike."""
+    """Callers that give no estimate count with the maximum, all alike."""
     estimate = length_estimate.LengthEstimate()
     for _ in range(200):
         estimate.learn(estimated_tokens=MOST, actual_tokens=4000)
--- a/tests/routing/test_local_placement.py
+++ b/tests/routing/test_local_placement.py
@@ -6,11 +6,12 @@
 
 
 def test_a_host_without_a_leader_sends_no_long_prompt_to_a_decode_runner():
-    """The leader and the last reader are gone in the same second.
+    """The leader and the last prefill runner are lost in the same second.
 
-    Each of seven entry hosts sees its own streams only. One of them sends
-    8,400 tokens to the writer that is left, and the eleven streams there
-    stand still for 352 ms: a stranger's prompt costs nine good answers.
+    Each of seven entry hosts sees only its own streams. One of them sends
+    8,400 tokens to the decode runner that is left, and the eleven streams
+    there stall for 352 ms: the prompt of another host costs nine answers their
+    targets.
     """
     long = builders.make_request('long', prompt_tokens=8400)
     short = builders.make_request('short', prompt_tokens=2000)
@@ -44,8 +45,8 @@
     )
 
 
-# Guards against streams that hosts without a leader send to a runner which
-# they were told to be full a moment before.
+# Guards against streams that hosts without a leader send to a runner that was
+# reported as full a moment before.
 def test_a_runner_that_was_full_a_moment_ago_is_not_chosen():
     load = runner_load.RunnerLoad()
     load.note_fleet_streams(builders.ENGINE.slots, 10.0)
--- a/tests/routing/test_lone_decode_runner.py
+++ b/tests/routing/test_lone_decode_runner.py
@@ -3,14 +3,14 @@
 from limpetroute.bench import lone_runner
 
 SEEDS = range(10)
-# Part of the streams that meet their targets, and of the worth of a class
-# that is earned, by the stated aims.
+# Required share of streams that meet their targets, and of the value of a
+# service class that is earned, as the project's goals state them.
 ON_TIME_PART = 0.95
 FLOOR = 0.31
 
 
-# Guards against prompts read so close together, or so long, that streams
-# placed in time pause beyond their target.
+# Guards against prefills that follow each other so closely, or last so long,
+# that streams placed in time pause beyond their target.
 @pytest.mark.parametrize('slow_factor', [1.0, 1.3])
 def test_streams_placed_in_time_keep_their_targets(slow_factor):
     placed = on_time = 0
@@ -24,8 +24,8 @@
     assert on_time >= ON_TIME_PART * placed
 
 
-# Guards against a lone decode runner that is kept busy with answers whose
-# targets are missed.
+# Guards against a lone decode runner that is kept busy with answers that miss
+# their targets.
 def test_a_lone_decode_runner_earns_the_floor():
     earned = [
         lone_runner.play(seed).earned(
@@ -36,8 +36,8 @@
     assert min(earned) >= FLOOR
 
 
-# Guards against a time beside the reading that is taken for far more than
-# it is, by which streams that could be in time were turned away.
+# Guards against an overestimated overhead beside the prefill, which caused
+# streams to be rejected although they could have been on time.
 def test_first_events_come_when_they_are_expected():
     errors_s = sorted(
         one.first_s - one.sent_s - one.expected_first_s
--- a/tests/routing/test_memory_forecast.py
+++ b/tests/routing/test_memory_forecast.py
@@ -1,8 +1,9 @@
 """A runner's memory is planned to the end of its streams.
 
-Counted at their largest, eight streams of a small runner would fill it
-while a third is free; counted as they are now, the newest is preempted
-in the middle of its answer and its caller sees a long pause.
+If streams counted with their largest size, eight of them would fill a small
+runner while a third of its memory is free. If they counted with their present
+size, the newest stream would be preempted in the middle of its answer and its
+caller would see a long gap.
 """
 
 from limpetroute.routing import memory_forecast
--- a/tests/routing/test_memory_headroom.py
+++ b/tests/routing/test_memory_headroom.py
@@ -1,4 +1,4 @@
-"""How much memory is kept for answers that grow longer than expected."""
+"""Memory reserved for answers that grow longer than estimated."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 def test_short_answers_to_long_prompts_keep_a_fiftieth_free():
     """Nine prompts of 5,000 tokens with answers of 550, off by 200.
 
-    With a tenth kept free, every thirteenth stream found no place.
+    With a tenth kept free, every thirteenth stream found no capacity.
     """
     assert reserved_share(52_113, 9, 200) < 0.04
 
--- a/tests/routing/test_memory_profile.py
+++ b/tests/routing/test_memory_profile.py
@@ -1,4 +1,4 @@
-"""The memory profile of a runner against the sum over its streams."""
+"""Compares the memory profile of a runner with the sum over its streams."""
 
 import hypothesis
 from hypothesis import strategies as st
--- a/tests/routing/test_moving_mean.py
+++ b/tests/routing/test_moving_mean.py
@@ -1,4 +1,4 @@
-"""A mean that follows what comes."""
+"""A mean that follows recent values."""
 
 from limpetroute.routing import moving_mean
 
--- a/tests/routing/test_pool_sizing.py
+++ b/tests/routing/test_pool_sizing.py
@@ -1,8 +1,8 @@
-"""How many runners read prompts.
+"""Number of runners that prefill.
 
-A fleet that starts with two readers of three refuses a third of its
-streams on a calm day; with none, prompts are read between the tokens of
-others and every stream pauses.
+A fleet that starts with two prefill runners of three rejects a third of its
+streams under normal load. Without a prefill runner, prompts are prefilled
+between the tokens of other streams and every stream pauses.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 from limpetroute.routing import stream_scheduler
 from tests.routing import builders
 
-# Memory for nine streams of the mean size, and twelve places.
+# Memory for nine streams of the mean size, and twelve slots.
 SMALL = dataclasses.replace(builders.ENGINE, memory_tokens=78_413)
 
 
@@ -26,7 +26,7 @@
     return pool_sizing.next_change(runners, engine=engine, changing=changing)
 
 
-# Prompts and answers of 5,000 tokens, in twelve places.
+# Prompts and answers of 5,000 tokens, on twelve slots.
 LONG_ANSWERS = stage_rates.StageRates(
     prompt_tokens=5000,
     output_tokens=5000,
@@ -34,7 +34,7 @@
     write_tokens_per_s=1400,
     deviation_tokens=1500,
 )
-# Answers of 550 tokens, and memory for nine streams beside 64 places.
+# Answers of 550 tokens, and memory for nine streams on 64 slots.
 SHORT_ANSWERS = stage_rates.StageRates(
     prompt_tokens=5100,
     output_tokens=550,
@@ -45,8 +45,8 @@
 WIDE = dataclasses.replace(
     builders.ENGINE, slots=64, memory_tokens=52_113, tokens_per_event=8
 )
-# As many streams at once, each for as long, but of tokens that come so
-# fast that streams stand still while their runner reads.
+# The same number and duration of streams, but with tokens so fast that streams
+# stall while their runner prefills.
 STILL = dataclasses.replace(
     SHORT_ANSWERS, output_tokens=4200, write_tokens_per_s=1400
 )
@@ -69,11 +69,11 @@
     [(1, 0), (2, 0), (3, 1), (5, 2), (7, 3), (9, 3), (45, 16)],
 )
 def test_target_prefill_count_for_short_answers(runners, prefill_runners):
-    """Nine runners read prompts of 5,100 tokens and write for 3 s.
+    """Nine runners prefill prompts of 5,100 tokens and decode for 3 s.
 
-    With the split that suits long answers, two of nine read and one of
-    eight: prompts waited for them, and half of a burst came late or was
-    refused, while a third of the writers' memory stood empty.
+    With the split that suits long answers, two of nine runners prefilled and
+    one of eight. Prompts waited for them, and half of a burst was late or
+    rejected while a third of the decode runners' memory was unused.
     """
     got = pool_sizing.target_prefill_count(runners, STILL_ENGINE, STILL)
     assert got == prefill_runners
@@ -104,10 +104,9 @@
 
 
 def test_before_any_stream_the_first_guess_is_not_far_off():
-    """Orders before the first stream go by a guess.
+    """Orders before the first stream rely on the default rates.
 
-    One that is undone by the first measurements costs twice the time of
-    a change.
+    An order that the first measurements undo costs the time of two changes.
     """
     for engine, rates in [
         (builders.ENGINE, LONG_ANSWERS),
@@ -137,7 +136,7 @@
 def test_what_a_fleet_settles_on_is_near_the_best_split(
     runners, prefill_runners, slots, memory_tokens, **rates
 ):
-    """Whatever is asked and however fast runners are."""
+    """This holds for any sizes of streams and speeds of runners."""
     engine = dataclasses.replace(
         builders.ENGINE, slots=slots, memory_tokens=memory_tokens
     )
@@ -172,11 +171,11 @@
 
 @pytest.mark.parametrize('prefill_runners', [0, 1, 2, 3])
 def test_decode_runners_that_prefill_well_need_no_change(prefill_runners):
-    """Two of nine runners are lost, two of them readers.
+    """Two of nine runners are lost, both of them prefill runners.
 
-    Writers read what the readers cannot, and let in as many streams. An
-    order back to three readers took a writer away for nine seconds, in
-    which one stream in seven was refused.
+    Decode runners prefill the remaining prompts, and as many streams are
+    accepted. An order back to three prefill runners took a decode runner away
+    for nine seconds, in which one stream in seven was rejected.
     """
     stages = {
         f'r{n}': builders.PREFILL if n < prefill_runners else builders.DECODE
@@ -193,7 +192,7 @@
 
 
 def settle(stages, *, engine, rates):
-    """Carry changes out until none is wanted, and return the stages."""
+    """Apply changes until there are no more, and return the stages."""
     for _ in range(2 * len(stages)):
         change = pool_sizing.next_change(
             [builders.make_runner(*one) for one in stages.items()],
@@ -208,11 +207,11 @@
 
 
 def test_the_first_callers_of_a_day_move_no_runner():
-    """Four runners, one of which reads, and three callers.
+    """Four runners, one of which prefills, and three callers.
 
-    All three expected a third of the usual answer. By their mean two
-    readers would be best: a writer was away for six seconds, and two
-    runners left soon after.
+    All three expected a third of the usual answer. With their mean, two
+    prefill runners would be best: a decode runner was away for six seconds,
+    and two runners left soon after.
     """
     scheduler = stream_scheduler.StreamScheduler(engine=SMALL)
     runners = [builders.make_runner('a', builders.PREFILL)]
@@ -228,9 +227,9 @@
 
 
 def test_of_many_runners_a_few_change_at_a_time():
-    """Forty-five runners start with a third too few readers.
+    """Forty-five runners start with a third too few prefill runners.
 
-    Changed one by one, it took a minute until the split was right.
+    When they changed one by one, the split took a minute to be right.
     """
     runners = [builders.make_runner(f'r{n:02}') for n in range(45)]
     changing = []
@@ -285,9 +284,9 @@
 def test_two_runners_with_little_memory_both_decode():
     """Two of four runners leave in the middle of a day.
 
-    One of the two that were left read prompts and held no stream, and
-    the other had memory for nine: callers were refused for the rest of
-    the day, and nothing changed as one reader of two was as wanted.
+    One of the two that were left prefilled and held no stream, and the other
+    had memory for nine. Callers were rejected for the rest of the day, and no
+    change was ordered because one prefill runner of two was the target.
     """
     left = [
         builders.make_runner('a', builders.PREFILL),
@@ -321,7 +320,7 @@
 
 
 def test_the_next_change_compares_no_runner_with_all_others(monkeypatch):
-    """The leader stood still for 0.3 s at a time with 1,800 runners."""
+    """The leader stalled for 0.3 s at a time with 1,800 runners."""
     compared = []
 
     def counted(one, other):
--- a/tests/routing/test_prefill_pause.py
+++ b/tests/routing/test_prefill_pause.py
@@ -1,4 +1,4 @@
-"""How long streams pause while their runner reads a prompt."""
+"""Gaps between events while a runner prefills a prompt."""
 
 import math
 
@@ -15,9 +15,9 @@
 
 
 def test_with_long_events_prefills_up_to_a_fifth_of_a_second_are_allowed():
-    """Measured: 6,500 tokens hold streams up for 325 ms.
+    """In a measurement, 6,500 tokens delayed streams by 325 ms.
 
-    At 25,000 tokens a second, 5,500 tokens are read within the limit.
+    At 25,000 tokens a second, 5,500 tokens are prefilled within the limit.
     """
     pace = prefill_pause.pace(1400.0)
     assert pace < 0.1
@@ -26,10 +26,10 @@
 
 
 def test_with_short_events_any_prefill_is_allowed():
-    """An event has eight tokens: a prompt is read over many events.
+    """An event has eight tokens, so a prefill spans many events.
 
-    Prompts over 5,500 tokens were refused by a runner that would have
-    held its streams up by 70 ms.
+    Prompts over 5,500 tokens were refused by a runner whose streams they would
+    have delayed by 70 ms.
     """
     pace = prefill_pause.pace(170.0)
     assert pace == pytest.approx(0.37, abs=0.01)
--- a/tests/routing/test_prefill_queue.py
+++ b/tests/routing/test_prefill_queue.py
@@ -24,8 +24,8 @@
     queue.note_prefill_done(name, 0, now_s + took_s)
 
 
-# Guards against a speed learned from prompts that were in the cache, by
-# which decode runners were then given prompts far too fast.
+# Guards against a speed measured with cached prompts, after which decode
+# runners were given prompts far too quickly.
 def test_prompts_in_a_runners_cache_say_nothing_of_its_speed():
     queue = make_queue()
     for n in range(8):
@@ -38,7 +38,8 @@
     assert queue.tokens_per_s == before
 
 
-# Guards against the same through a prompt that waits behind such ones.
+# Guards against the same fault through a prompt that is queued behind cached
+# ones.
 def test_a_prompt_queued_behind_cached_ones_is_not_measured():
     queue = make_queue()
     prefill(queue, 'first', 0.12, 0.0, prompt_id='known')
--- a/tests/routing/test_recent_samples.py
+++ b/tests/routing/test_recent_samples.py
@@ -11,13 +11,14 @@
     return samples.quantile(0.5)
 
 
-# Guards against the first samples after a start, all of one odd moment.
+# Guards against the first samples after a start, which may all be taken under
+# unusual conditions.
 def test_a_few_samples_leave_the_initial_guess():
     assert middle(FAST * 3, FAST * 3, FAST * 3) == GUESS
 
 
-# Guards against a busy moment that makes a runner seem slow, whereupon it
-# is left less and less to read.
+# Guards against a busy period that makes a runner seem slow, so that it is
+# given fewer and fewer prompts.
 def test_a_few_slow_samples_do_not_move_the_median():
     assert middle(*[FAST] * 10, *[FAST / 5] * 6) == FAST
 
--- a/tests/routing/test_reservations.py
+++ b/tests/routing/test_reservations.py
@@ -1,4 +1,4 @@
-"""What is known of reserved slots, runner by runner."""
+"""Reserved slots and their counts per runner."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def test_counts_per_runner_match_the_reservations():
-    """A count that is off fills a runner, or keeps it empty, for good."""
+    """A wrong count overloads a runner, or keeps it idle, for good."""
     rng = random.Random(4)
     reserved = reservations.Reservations(engine=builders.ENGINE)
     here = {}
@@ -73,7 +73,7 @@
     assert reserved.take_freed() == set()
 
 
-# Guards against pauses that are planned by the pace of faster runners.
+# Guards against gaps that are planned with the pace of faster runners.
 def test_a_slower_runner_is_found_by_its_own_streams():
     reserved = reservations.Reservations(engine=builders.ENGINE)
     usual_s = reserved.event_s
--- a/tests/routing/test_retry_after.py
+++ b/tests/routing/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When refused callers come back, and whether they are let in then."""
+"""Retry delays of rejected callers, and whether the retries are placed."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 
 
 def test_callers_that_were_rejected_earlier_go_first():
-    """Eight places in two seconds are left beside the new streams."""
+    """New streams leave eight slots in two seconds for retries."""
     assert retry_after_s(
         arrivals=4, releases=12, expected_returns=8
     ) == pytest.approx(2.4)
@@ -48,11 +48,11 @@
 
 
 def test_after_a_burst_those_refused_in_it_are_let_in():
-    """Twice the places' streams for four seconds, then fewer again.
+    """Streams arrive at twice the rate of slots for four seconds.
 
-    Who was refused at the beginning came back when the next place was
-    free, met the same burst, and was refused for good: 4.5 of 148
-    streams in each play.
+    Callers rejected at the beginning retried when the next slot became free,
+    met the same burst, and were rejected for good: 4.5 of 148 streams in each
+    play.
     """
     load = {
         'decode_runners': 2,
@@ -66,10 +66,10 @@
 
 
 def test_in_a_lasting_shortage_most_of_the_places_go_to_new_streams():
-    """One decode runner for half again as many streams as it can write.
+    """One decode runner gets half again as many streams as it can serve.
 
-    Its places are as many either way: given to who comes back, each
-    makes a new stream late in turn.
+    The number of slots is the same either way: each slot given to a retry
+    makes a new stream late.
     """
     load = {
         'decode_runners': 1,
--- a/tests/routing/test_scheduler_cost.py
+++ b/tests/routing/test_scheduler_cost.py
@@ -1,7 +1,7 @@
-"""What one event costs the scheduler of a large fleet in a burst.
+"""Cost of one event for the scheduler of a large fleet in a burst.
 
-Pattern: more streams come than runners have room for, and every request,
-prompt read and end of a stream asks for a decision.
+Pattern: more streams arrive than runners have capacity for, and every request,
+finished prefill and end of a stream triggers a decision.
 """
 
 import pytest
@@ -13,7 +13,7 @@
 
 
 def lines_an_event(runners, waiting):
-    """Return the lines that a request and an end take, on average."""
+    """Return the mean number of lines executed for a request or an end."""
     fleet = full_fleet.FullFleet(runners, waiting)
     counter = work_counter.WorkCounter()
     with counter.counting():
@@ -27,14 +27,14 @@
 
 
 def test_an_event_costs_no_more_while_more_streams_wait():
-    """The leader's loop stood still while a hundred streams waited."""
+    """The leader's event loop stalled while a hundred streams waited."""
     few = lines_an_event(45, 10)
     many = lines_an_event(45, 100)
     assert many < 4 * few
 
 
 def test_an_event_costs_no_more_on_a_larger_fleet():
-    """The leader's loop stood still where it had hundreds of runners."""
+    """The leader's event loop stalled in a pool with hundreds of runners."""
     small = lines_an_event(45, 20)
     large = lines_an_event(360, 20)
     assert large < 2 * small
@@ -44,6 +44,6 @@
 def test_an_event_takes_a_bounded_number_of_steps(waiting):
     """A burst of 120 streams a second ended one leader's term after another.
 
-    A decision may take 0.2 ms, which is some 2,000 lines.
+    A decision may take 0.2 ms, which is about 2,000 lines.
     """
     assert lines_an_event(45, waiting) < 2000
--- a/tests/routing/test_startup_wait.py
+++ b/tests/routing/test_startup_wait.py
@@ -1,10 +1,10 @@
-"""Requests that come to a host before its first configuration."""
+"""Requests that arrive at a host before its first configuration."""
 
 from limpetroute.routing import startup_wait
 
 
 def test_a_request_to_a_starting_host_waits_for_a_configuration():
-    """All hosts lose power; their callers come back to starting ones."""
+    """All hosts lose power; their callers retry at hosts that are starting."""
     assert startup_wait.max_wait_s(age_s=0.2, deadline_s=14.0) > 1.0
 
 
--- a/tests/routing/test_stream_scheduler.py
+++ b/tests/routing/test_stream_scheduler.py
@@ -1,4 +1,4 @@
-"""Who gets a place, who waits, who is told to come back."""
+"""Which streams are placed, which wait and which are rejected."""
 
 import dataclasses
 import math
@@ -8,7 +8,7 @@
 from limpetroute.routing import stream_scheduler
 from tests.routing import builders
 
-# Events of eight tokens: streams go on while their runner reads.
+# Events of eight tokens: streams progress while their runner prefills.
 SHORT_EVENTS = dataclasses.replace(builders.ENGINE, tokens_per_event=8)
 
 
@@ -17,7 +17,7 @@
 
 
 def make_fleet(decode_runners=2, prefill_runners=12):
-    """Return runners; by default, reading never binds but places do."""
+    """Return runners; by default slots are the limit and never prefills."""
     fleet = [builders.make_runner('p', builders.PREFILL)]
     fleet += [
         builders.make_runner(f'p{n}', builders.PREFILL)
@@ -28,7 +28,7 @@
 
 
 class PrefillRunner:
-    """A prefill runner that reads one prompt after the other."""
+    """A prefill runner that prefills one prompt after another."""
 
     def __init__(self, scheduler, *, tokens_per_s=50_000.0):
         self.scheduler = scheduler
@@ -45,7 +45,7 @@
         self.queue.append((self.free_s, placed.request_id))
 
     def play(self, fleet):
-        """Play a second; return how many got a place or were refused."""
+        """Play a second; return how many streams were placed and rejected."""
         given = refused = 0
         for tick in range(20):
             now_s = tick * 0.05
@@ -94,7 +94,7 @@
 
 
 def test_a_burst_never_fills_a_runner_beyond_its_slots():
-    """Beyond its places a runner refuses, with the prompt read in vain."""
+    """A full runner refuses a stream, and its prefill was for nothing."""
     scheduler = make_scheduler()
     for n in range(60):
         scheduler.submit(
@@ -112,13 +112,14 @@
         )
     given = placements(scheduler.decide(make_fleet(), 0.0))
     room = builders.ENGINE.memory_tokens // 16_000
-    # Reading staggers them, so one more may fit each runner.
+    # Prefills start the streams one after another, so one more may fit each
+    # runner.
     assert 2 * (room - 1) <= len(given) <= 2 * (room + 1)
     assert len(given) < 2 * builders.ENGINE.slots
 
 
 def test_in_overload_most_streams_are_rejected_at_once():
-    """Waiting for a place that cannot come in time helps nobody."""
+    """It is useless to wait for a slot that cannot become free in time."""
     scheduler = make_scheduler()
     for n in range(60):
         scheduler.submit(
@@ -145,7 +146,7 @@
 
 
 def test_a_resumed_stream_goes_before_new_ones():
-    """Refused, it would be lost with all that was written for it."""
+    """If it were rejected, all that was written for it would be lost."""
     scheduler = make_scheduler()
     for n in range(24):
         scheduler.submit(
@@ -162,7 +163,7 @@
 
 
 def test_a_late_stream_is_placed_eventually():
-    """With new streams always first, one that is late would starve."""
+    """If new streams always went first, a late one would starve."""
     scheduler = make_scheduler()
     fleet = make_fleet()
     now_s = 0.0
@@ -185,7 +186,7 @@
 
 
 def test_a_large_stream_is_not_passed_over_for_ever():
-    """Small ones would fit first each time a little room is free."""
+    """Small streams fit first whenever a little capacity becomes free."""
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=1)
     rng = random.Random(3)
@@ -218,10 +219,10 @@
 
 
 def test_an_unresponsive_runner_gets_one_stream_at_a_time():
-    """A runner goes dark while its registration stands.
+    """A runner stops responding while its registration is still valid.
 
-    Each place given there costs a prompt read for nothing and a quarter
-    second; a runner that failed is tried with one stream only.
+    Each placement there costs a prefill for nothing and a quarter of a second.
+    A runner that failed is tried with a single stream only.
     """
     scheduler = make_scheduler()
     fleet = make_fleet()
@@ -239,8 +240,8 @@
     assert wasted <= 6
 
 
-def fail_a_place(scheduler, fleet, name, now_s):
-    """Have a stream fail at its reader; return its place."""
+def fail_a_prefill(scheduler, fleet, name, now_s):
+    """Let a stream fail at its prefill runner and return its placement."""
     scheduler.submit(builders.make_request(name, prompt_tokens=2000), now_s)
     (placed,) = placements(scheduler.decide(fleet, now_s))
     failed = (placed.prefill_id,) if placed.prefill_id else ()
@@ -248,8 +249,8 @@
     return placed
 
 
-# Guards against a dark runner that passes for sound because callers left
-# while they waited for it, and is then sent all that asks.
+# Guards against an unresponsive runner that counts as healthy because callers
+# disconnected while they waited for it, and is then given all streams.
 def test_a_stream_that_its_caller_gave_up_is_no_success_of_its_runner():
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2)
@@ -269,62 +270,62 @@
 
 
 def test_without_its_prefill_runner_a_fleet_prefills_on_decode_runners():
-    """The only reader is gone for good, and its registration stands.
+    """The only prefill runner is gone, and its registration is still valid.
 
-    For want of another reader every prompt went there: each caller was
-    refused after two readings that came to nothing.
+    Every prompt was sent there for lack of another prefill runner, and each
+    caller was rejected after two failed prefills.
     """
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2, prefill_runners=1)
     for n in range(2):
-        assert fail_a_place(scheduler, fleet, f's{n}', 10.0).prefill_id
-    assert not fail_a_place(scheduler, fleet, 's2', 10.5).prefill_id
+        assert fail_a_prefill(scheduler, fleet, f's{n}', 10.0).prefill_id
+    assert not fail_a_prefill(scheduler, fleet, 's2', 10.5).prefill_id
 
 
 def test_a_stream_that_ends_is_no_success_of_its_prefill_runner():
-    """The reader dies; streams that it read before go on for seconds.
+    """The prefill runner dies; streams that it prefilled run on for seconds.
 
-    Each one that ended well stood for a sign of its reader, so that it
-    was given prompts all the while: callers were refused after two
-    readings that came to nothing.
+    Each of them that ended well counted as a success of the prefill runner, so
+    it was still given prompts, and callers were rejected after two failed
+    prefills.
     """
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2, prefill_runners=1)
     scheduler.submit(builders.make_request('old'), 8.0)
     assert placements(scheduler.decide(fleet, 8.0))
     scheduler.note_prefill_done('old', 0, 8.1)
-    fail_a_place(scheduler, fleet, 's0', 10.0)
+    fail_a_prefill(scheduler, fleet, 's0', 10.0)
     scheduler.release(placement.Release(request_id='old', whole=True), 10.0)
-    fail_a_place(scheduler, fleet, 's1', 10.0)
-    assert not fail_a_place(scheduler, fleet, 's2', 10.5).prefill_id
+    fail_a_prefill(scheduler, fleet, 's1', 10.0)
+    assert not fail_a_prefill(scheduler, fleet, 's2', 10.5).prefill_id
 
 
 def test_a_recovered_prefill_runner_is_given_prompts():
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2, prefill_runners=1)
     for n in range(2):
-        fail_a_place(scheduler, fleet, f's{n}', 10.0)
+        fail_a_prefill(scheduler, fleet, f's{n}', 10.0)
     scheduler.submit(builders.make_request('probe', prompt_tokens=2000), 11.5)
     (probe,) = placements(scheduler.decide(fleet, 11.5))
     assert probe.prefill_id
     scheduler.note_prefill_done('probe', 0, 11.6)
     for n in range(2, 4):
-        assert fail_a_place(scheduler, fleet, f's{n}', 11.7).prefill_id
+        assert fail_a_prefill(scheduler, fleet, f's{n}', 11.7).prefill_id
 
 
 def test_a_prefill_runner_that_failed_once_is_still_used():
-    """One reset is chance; writers that read pause their streams."""
+    """A single reset is chance; prefills on decode runners pause streams."""
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=2, prefill_runners=1)
     for n in range(2):
         scheduler.submit(builders.make_request(f's{n}'), 10.0)
         scheduler.decide(fleet, 10.0)
     scheduler.release(placement.Release(request_id='s0', failed=('p',)), 10.0)
-    assert fail_a_place(scheduler, fleet, 's3', 10.1).prefill_id
+    assert fail_a_prefill(scheduler, fleet, 's3', 10.1).prefill_id
 
 
 def test_a_runner_filled_by_unseen_hosts_is_skipped_for_a_while():
-    """Hosts cut off from the leader fill a runner, unseen here."""
+    """Hosts that cannot reach the leader fill a runner, unseen by it."""
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=1)
     scheduler.submit(builders.make_request('one'), 0.0)
@@ -363,7 +364,7 @@
 
 
 def test_a_lone_decode_runner_prefills_one_prompt_at_a_time():
-    """Two prompts read at once pause all its streams beyond 300 ms."""
+    """Two prefills at once pause all its streams for more than 300 ms."""
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     for n in range(4):
@@ -376,7 +377,7 @@
     assert len(placements(scheduler.decide(fleet, 0.35))) == 1
 
 
-# Guards against a second prompt beside one that takes longer than expected.
+# Guards against a second prefill beside one that takes longer than expected.
 def test_a_lone_decode_runner_with_a_slow_prefill_is_waited_for():
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
@@ -393,7 +394,8 @@
     assert placements(scheduler.decide(fleet, 1.05))
 
 
-# Guards against a runner that is given nothing for want of one message.
+# Guards against a runner that gets no more prompts because a single message
+# was lost.
 def test_a_lone_decode_runner_without_reports_is_given_prompts_again():
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
@@ -413,10 +415,10 @@
 
 
 def test_a_long_prompt_does_not_stall_a_lone_decode_runners_streams():
-    """One runner is left of a pool, and reads prompts itself.
+    """One runner is left of a pool, and prefills prompts itself.
 
-    While it reads 11,000 tokens, none of its streams moves for 466 ms:
-    one answer more costs eleven callers a good one.
+    While it prefills 11,000 tokens, none of its streams progresses for 466 ms:
+    one more answer costs eleven callers their target.
     """
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
@@ -436,7 +438,7 @@
 
 
 def busy_lone_runner():
-    """Return a scheduler, a lone writer with six streams, and a time."""
+    """Return a scheduler, a lone decode runner with six streams, and a time."""
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
@@ -451,10 +453,10 @@
 
 
 def test_a_long_prompt_that_waits_for_its_prefill_reserves_no_capacity():
-    """A long prompt waits, and short ones come while there are places.
+    """A long prompt waits, and short ones arrive while slots are free.
 
-    After a quarter of a second it counted as one for which room is kept:
-    twelve callers got nothing for 2.7 s, with four places free.
+    After a quarter of a second, capacity was kept free for the long prompt:
+    twelve callers got nothing for 2.7 s while four slots were free.
     """
     scheduler, fleet, now_s = busy_lone_runner()
     for n in range(2):
@@ -470,7 +472,7 @@
 
 
 def test_a_long_prompt_that_no_runner_can_prefill_is_rejected_at_once():
-    """It could be read once all but three streams have ended, in 3 s."""
+    """It could be prefilled in 3 s, when all but three streams have ended."""
     scheduler, fleet, now_s = busy_lone_runner()
     scheduler.submit(
         builders.make_request('long', prompt_tokens=11_000), now_s
@@ -488,7 +490,7 @@
 
 
 def lone_runner_with(count, **fields):
-    """Return a scheduler, a lone writer with some streams, and a time."""
+    """Return a scheduler, a lone decode runner with streams, and a time."""
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
@@ -501,7 +503,7 @@
     return scheduler, fleet, now_s
 
 
-# Guards against long prompts that are kept from streams which are late
+# Guards against long prompts that are held back for streams which are late
 # anyway, such as those resumed after an outage.
 def test_a_long_prompt_is_prefilled_beside_streams_that_are_late():
     scheduler, fleet, now_s = lone_runner_with(6, goes_on=True)
@@ -511,7 +513,7 @@
     assert placements(scheduler.decide(fleet, now_s))
 
 
-# Guards against an admission that makes more streams late than it serves.
+# Guards against a placement that makes more streams late than it serves.
 def test_a_long_prompt_does_not_make_three_streams_late():
     scheduler, fleet, now_s = lone_runner_with(3)
     long = builders.make_request('long', prompt_tokens=11_000, target_s=9.0)
@@ -519,7 +521,7 @@
     assert not placements(scheduler.decide(fleet, now_s))
 
 
-# Guards against the same where the prompt's own stream is late.
+# Guards against the same fault if the prompt's own stream is late.
 def test_a_late_stream_makes_none_late():
     scheduler, fleet, now_s = lone_runner_with(1)
     late = builders.make_request('late', prompt_tokens=11_000, waited_s=0.7)
@@ -554,11 +556,11 @@
 
 
 def test_streams_wait_for_a_lone_decode_runner_that_has_free_slots():
-    """One runner is left, with most of its places free.
+    """One runner is left, with most of its slots free.
 
-    It reads one prompt at a time. Who comes meanwhile was refused, as
-    if the next place came only with the end of a stream: half of the
-    places stood empty while most callers were told to come back.
+    It prefills one prompt at a time. Streams that arrived meanwhile were
+    rejected, as if a slot became free only at the end of a stream. Half of the
+    slots were unused while most callers were told to retry.
     """
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
@@ -579,11 +581,11 @@
 
 
 def test_a_retry_does_not_count_as_a_new_stream():
-    """A burst is refused and comes back under new ids two seconds later.
+    """The streams of a burst are rejected and retried with new ids in 2 s.
 
-    Its answers are late whatever happens. Taken for new streams, they
-    fill the places, and streams that could have been in time are told to
-    come back themselves: each of them is late in turn.
+    Their answers are late in any case. If they count as new streams, they take
+    the slots, and streams that could have been on time are rejected and become
+    late in turn.
     """
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=1)
@@ -606,7 +608,7 @@
     given = [
         one.request_id for one in placements(scheduler.decide(fleet, 2.0))
     ]
-    # One place in eight goes to a late one.
+    # One slot in eight goes to a late stream.
     assert sum(name.startswith('new') for name in given) >= 5
 
 
@@ -629,7 +631,7 @@
 
 
 def test_one_prompt_of_a_session_does_not_count_for_the_next():
-    """Sessions send prompts of other sizes under one name."""
+    """Sessions send prompts of different sizes under one id."""
     engine = dataclasses.replace(builders.ENGINE, slots=4)
     scheduler = stream_scheduler.StreamScheduler(engine=engine)
     fleet = make_fleet(decode_runners=0)
@@ -648,12 +650,12 @@
 
 
 def test_estimates_that_are_far_off_do_not_overfill_a_runner():
-    """Callers' estimates are off by half, and memory binds before places.
+    """Callers' estimates are off by half, and memory is the limit, not slots.
 
-    Planned full by what callers say, runners run out of memory when
-    answers outgrow their plan: the newest stream is pushed out in the
-    middle of its answer, and its prompt is read again between the tokens
-    of the others.
+    If runners are planned full by callers' estimates, they run out of memory
+    when answers outgrow their plan. Then the newest stream is preempted in the
+    middle of its answer, and its prompt is prefilled again between the tokens
+    of the other streams.
     """
     rng = random.Random(11)
     engine = dataclasses.replace(builders.ENGINE, memory_tokens=78_000)
@@ -695,18 +697,17 @@
             del running[name]
         over += used > engine.memory_tokens
     assert given > 140
-    # Of 4000 looks; planned full by what callers say it is 321.
+    # Of 4000 steps; with a plan by callers' estimates it is 321.
     assert over < 160
 
 
 def test_a_late_release_does_not_release_the_next_placement():
-    """A connect fails; its place is given back and another asked for.
+    """A connect fails; its placement is released and another requested.
 
-    Both calls are on their way at once, on connections of their own.
-    Where the second overtakes the first, the place that was given anew
-    was taken back: its stream ran uncounted, the runner was filled
-    beyond its memory, and refused 15 streams whose prompts had been read
-    within 3 s.
+    Both calls are sent at once, on separate connections. If the second arrived
+    first, the release dropped the new placement: its stream ran uncounted, the
+    runner was filled beyond its memory, and refused 15 streams within 3 s
+    after their prefill.
     """
     scheduler = make_scheduler()
     fleet = make_fleet()
@@ -725,7 +726,7 @@
 
 
 def test_a_second_request_drops_the_first_placement():
-    """The call that gives the first place back may be lost."""
+    """The call that releases the first placement may be lost."""
     scheduler = make_scheduler()
     scheduler.submit(builders.make_request('s', attempt=1), 0.0)
     scheduler.decide(make_fleet(), 0.0)
@@ -734,7 +735,7 @@
 
 
 def test_a_runner_that_changes_its_stage_gets_nothing():
-    """It refuses all for six seconds, and is still announced as ready."""
+    """It refuses all requests for six seconds but is still announced as ready."""
     scheduler = make_scheduler()
     scheduler.submit(builders.make_request('s'), 0.0)
     answers = scheduler.decide(
@@ -749,11 +750,11 @@
 
 
 def test_a_resumed_stream_is_planned_with_its_written_tokens():
-    """A runner crashes; its streams go on at the one that is left.
+    """A runner crashes; its streams are resumed on the one that is left.
 
-    Each reads its prompt and what it had written. Planned by the prompt
-    alone, ten of them outgrow the runner's memory a second later, and
-    the newest are pushed out again.
+    Each stream prefills its prompt and the tokens it had written. If only the
+    prompts are planned for, ten streams outgrow the runner's memory a second
+    later, and the newest are preempted again.
     """
     engine = dataclasses.replace(builders.ENGINE, memory_tokens=78_000)
     scheduler = stream_scheduler.StreamScheduler(engine=engine)
@@ -769,12 +770,13 @@
             placements(scheduler.decide(make_fleet(decode_runners=1), now_s))
         )
         now_s += 0.05
-    # 9,000 tokens each from the first event on, of 70,000 planned for.
+    # Each stream takes 9,000 tokens from its first event on, of 70,000 that
+    # are planned for.
     assert given == 7
 
 
 def test_written_tokens_are_prefilled_too():
-    """Beside others, a decode runner must not read for long."""
+    """A decode runner with other streams must not prefill for long."""
     scheduler = make_scheduler()
     lone = [builders.make_runner('d0')]
     for n in range(5):
@@ -794,12 +796,12 @@
 
 
 def test_a_prefill_runner_is_not_given_more_than_it_prefills_in_time():
-    """A new leader begins, and a second's streams ask at once.
+    """A new leader starts, and a second's streams are requested at once.
 
-    There are places for all of them, but one reader: the last of them
-    waited for 1.3 s, their hosts took the reader for dark and asked for
-    the same readings again, and for eight seconds the reader read
-    prompts that nobody waited for any more.
+    There are slots for all of them but only one prefill runner. The last
+    stream waited for 1.3 s. Hosts considered the prefill runner unresponsive
+    and requested the same prefills again, and for eight seconds it prefilled
+    prompts that were no longer needed.
     """
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=3, prefill_runners=1)
@@ -808,9 +810,10 @@
     prefill_runner = PrefillRunner(scheduler)
     given, refused = prefill_runner.play(fleet)
     assert prefill_runner.longest_s < 0.5
-    # Ten a second are read; the rest cannot be in time and comes back.
+    # Ten prompts a second are prefilled. The other streams cannot be on time
+    # and are rejected.
     assert 8 <= given <= 14
-    # A few late ones may go on waiting.
+    # A few late streams may keep waiting.
     late_limit = round(36 * stream_scheduler.LATE_WAITING_SHARE)
     assert 30 - given - late_limit <= refused <= 30 - given
 
@@ -826,11 +829,11 @@
 
 
 def test_a_slow_prefill_runner_does_not_fall_behind():
-    """The only reader is a third slower than most, in a burst.
+    """In a burst, the only prefill runner is a third slower than usual.
 
-    Worked out from the usual speed, its queue seemed short while it
-    grew to 0.8 s. Hosts then took it for dark and asked for the same
-    readings again; it read for nobody, and 110 of 140 streams were late.
+    Estimated from the usual speed, its queue seemed short while it grew to 0.8
+    s. Hosts then considered the runner unresponsive and requested the same
+    prefills again. Its prefills were wasted, and 110 of 140 streams were late.
     """
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=4, prefill_runners=1)
@@ -853,10 +856,11 @@
 
 
 def test_waiting_prompts_are_prefilled_by_decode_runners_with_capacity():
-    """One of two readers is lost while a burst comes.
+    """One of two prefill runners is lost during a burst.
 
-    The other one's queue was full, and every further stream waited for
-    it until its target was past, while the writers had room for all.
+    The queue of the other one was full, and every further stream waited for it
+    until its target was missed, while the decode runners had capacity for all
+    of them.
     """
     scheduler = stream_scheduler.StreamScheduler(engine=SHORT_EVENTS)
     fleet = make_fleet(decode_runners=3, prefill_runners=1)
@@ -869,7 +873,7 @@
 
 
 def test_a_prefill_runner_that_is_done_sooner_is_waited_for():
-    """A prompt is not read at half the speed where that wins nothing."""
+    """A prefill at half the speed is avoided if it gains nothing."""
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=3, prefill_runners=2)
     for n in range(4):
@@ -880,12 +884,12 @@
 
 
 def test_waits_on_a_lone_decode_runner_do_not_lower_its_speed():
-    """One runner is left and reads prompts beside twelve streams.
+    """One runner is left and prefills prompts beside twelve streams.
 
-    Each first event waits for the reading before it. Taken for a slower
-    reading, that made the runner seem to read for half a second: it was
-    given a prompt a second in place of three, and longer ones, whose
-    pauses were late for all of its streams.
+    Each first event waits for the prefill before it. Because that wait counted
+    as prefill time, the runner seemed to prefill for half a second. It was
+    given one prompt a second instead of three, and longer ones, whose prefills
+    made all of its streams late.
     """
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
@@ -917,10 +921,10 @@
 
 
 def test_prompts_wait_for_a_prefill_runner_if_streams_would_stall():
-    """Events of 65 tokens: each prompt read beside holds them all up.
+    """With events of 65 tokens, each self-prefill stalls all streams.
 
-    Read by writers in every burst, prompts made the events of twelve
-    streams late for one that came sooner.
+    When decode runners prefilled in every burst, they made the events of
+    twelve streams late for one stream that started sooner.
     """
     scheduler = make_scheduler()
     fleet = make_fleet(decode_runners=3, prefill_runners=1)
@@ -932,10 +936,10 @@
 
 
 def test_late_streams_wait_only_for_existing_memory():
-    """A burst where memory for six streams binds, and 64 slots do not.
+    """In a burst, memory for six streams is the limit, not 64 slots.
 
-    A sixth of all slots were ten late streams for each runner that writes
-    six: they waited until they were overdue and were refused then.
+    A sixth of all slots allowed ten late streams per runner, which holds only
+    six: they waited until they were overdue and were rejected then.
     """
     engine = dataclasses.replace(
         builders.ENGINE, slots=64, memory_tokens=38_404, tokens_per_event=8
@@ -960,10 +964,10 @@
 
 
 def test_a_lone_decode_runner_that_just_lost_streams_is_checked_again():
-    """Between two full passes a decision rested on the streams before.
+    """Between two full passes, a decision used the earlier set of streams.
 
-    A stream had ended since, the look at the fourth last failed, and the
-    answers of that decision were lost.
+    A stream had ended since, the access to the fourth last end failed, and the
+    results of that decision were lost.
     """
     scheduler, fleet, now_s = busy_lone_runner()
     scheduler.submit(builders.make_request('s6', prompt_tokens=2000), now_s)
--- a/tests/routing/test_stream_times.py
+++ b/tests/routing/test_stream_times.py
@@ -1,4 +1,4 @@
-"""How long a place is worth waiting for."""
+"""How long a stream may wait for a placement."""
 
 import pytest
 
@@ -8,10 +8,10 @@
 
 @pytest.mark.parametrize('silence_s', [2.0, 3.6, 8.0])
 def test_a_placement_is_useful_while_its_caller_can_get_an_event(silence_s):
-    """A service whose callers wait for eight seconds, or for two.
+    """The callers of a service wait for eight seconds, or for two.
 
-    By a time that suits 3.6 s, streams were refused half way, or read
-    for callers that had left.
+    With a limit that suits 3.6 s, streams were rejected half way, or prefilled
+    for callers that had disconnected.
     """
     fresh = builders.make_request('a', silence_s=silence_s)
     begun = builders.make_request('b', silence_s=silence_s, goes_on=True)
--- a/tests/routing/work_counter.py
+++ b/tests/routing/work_counter.py
@@ -1,6 +1,6 @@
-"""Counts the lines of the package that a call runs.
+"""Counts the lines of the package that a call executes.
 
-Unlike its time, that is the same on every run and machine.
+Unlike its duration, the count is the same on every run and machine.
 """
 
 import contextlib
