--- a/tests/routing/test_stream_scheduler.py
+++ b/tests/routing/test_stream_scheduler.py
@@ -34,14 +34,14 @@
         self.scheduler = scheduler
         self.tokens_per_s = tokens_per_s
         self.free_s = 0.0
-        self.longest_s = 0.0
+        self.longest_queue_s = 0.0
         self.queue = []
 
     def take(self, placed, now_s):
         if not placed.prefill_id:
             return
         self.free_s = max(self.free_s, now_s) + 5000 / self.tokens_per_s
-        self.longest_s = max(self.longest_s, self.free_s - now_s)
+        self.longest_queue_s = max(self.longest_queue_s, self.free_s - now_s)
         self.queue.append((self.free_s, placed.request_id))
 
     def play(self, fleet):
@@ -111,10 +111,10 @@
             builders.make_request(f's{n}', prompt_tokens=11_000), 0.0
         )
     given = placements(scheduler.decide(make_fleet(), 0.0))
-    room = builders.ENGINE.memory_tokens // 16_000
+    capacity = builders.ENGINE.memory_tokens // 16_000
     # Prefills start the streams one after another, so one more may fit each
     # runner.
-    assert 2 * (room - 1) <= len(given) <= 2 * (room + 1)
+    assert 2 * (capacity - 1) <= len(given) <= 2 * (capacity + 1)
     assert len(given) < 2 * builders.ENGINE.slots
 
 
@@ -438,7 +438,7 @@
 
 
 def busy_lone_runner():
-    """Return a scheduler, a lone decode runner with six streams, and a time."""
+    """Return a scheduler, a lone runner with six streams, and a time."""
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
@@ -490,7 +490,7 @@
 
 
 def lone_runner_with(count, **fields):
-    """Return a scheduler, a lone decode runner with streams, and a time."""
+    """Return a scheduler, a lone runner with some streams, and a time."""
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
     now_s = 0.0
@@ -735,7 +735,7 @@
 
 
 def test_a_runner_that_changes_its_stage_gets_nothing():
-    """It refuses all requests for six seconds but is still announced as ready."""
+    """For six seconds it refuses all requests, but is announced as ready."""
     scheduler = make_scheduler()
     scheduler.submit(builders.make_request('s'), 0.0)
     answers = scheduler.decide(
@@ -809,7 +809,7 @@
         scheduler.submit(builders.make_request(f's{n}'), 0.0)
     prefill_runner = PrefillRunner(scheduler)
     given, refused = prefill_runner.play(fleet)
-    assert prefill_runner.longest_s < 0.5
+    assert prefill_runner.longest_queue_s < 0.5
     # Ten prompts a second are prefilled. The other streams cannot be on time
     # and are rejected.
     assert 8 <= given <= 14
@@ -852,7 +852,7 @@
         while running and running[0][0] <= now_s:
             name = running.pop(0)[1]
             scheduler.release(placement.Release(request_id=name), now_s)
-    assert prefill_runner.longest_s < 0.55
+    assert prefill_runner.longest_queue_s < 0.55
 
 
 def test_waiting_prompts_are_prefilled_by_decode_runners_with_capacity():
