--- a/limpetroute/agreement/log.py
+++ b/limpetroute/agreement/log.py
@@ -29,8 +29,8 @@
         self.snapshot = snapshot
         self._entries: list[entry_module.Entry] = []
         self._memberships: list[tuple[int, membership_module.Membership]] = []
-        for one in entries:
-            self.append(one)
+        for entry in entries:
+            self.append(entry)
 
     def __repr__(self) -> str:
         return (
@@ -71,11 +71,11 @@
 
     def membership_at(self, index: int) -> membership_module.Membership:
         """Return the membership as of an index."""
-        found = self.snapshot.membership
-        for place, membership in self._memberships:
-            if place <= index:
-                found = membership
-        return found
+        membership_at_index = self.snapshot.membership
+        for position, membership in self._memberships:
+            if position <= index:
+                membership_at_index = membership
+        return membership_at_index
 
     def term_at(self, index: int) -> int | None:
         """Return the term at an index, or None if it is not here."""
@@ -85,7 +85,7 @@
             return None
         return self._entries[index - self.base_index - 1].term
 
-    def before_term(self, index: int, term: int, floor: int) -> int:
+    def last_index_before_term(self, index: int, term: int, floor: int) -> int:
         """Return the last index below ``index`` of another term.
 
         Not below ``floor``: a leader that goes back past a whole term
@@ -95,15 +95,13 @@
             index -= 1
         return index
 
-    def first_fresh(
-        self, entries: tuple[entry_module.Entry, ...]
-    ) -> int | None:
+    def first_new(self, entries: tuple[entry_module.Entry, ...]) -> int | None:
         """Return the place of the first entry that is not here."""
-        for place, one in enumerate(entries):
-            if one.index <= self.base_index:
+        for position, entry in enumerate(entries):
+            if entry.index <= self.base_index:
                 continue
-            if self.term_at(one.index) != one.term:
-                return place
+            if self.term_at(entry.index) != entry.term:
+                return position
         return None
 
     def between(
@@ -113,7 +111,7 @@
         start = first_index - self.base_index - 1
         return tuple(self._entries[start : last_index - self.base_index])
 
-    def append(self, one: entry_module.Entry) -> None:
+    def append(self, entry: entry_module.Entry) -> None:
         """Append the next entry.
 
         Raises
@@ -121,14 +119,14 @@
         ValueError
             If its index is not the next.
         """
-        if one.index != self.last_index + 1:
+        if entry.index != self.last_index + 1:
             raise ValueError(
-                f'index {one.index!r} does not follow {self.last_index!r}'
+                f'index {entry.index!r} does not follow {self.last_index!r}'
             )
-        self._entries.append(one)
-        if one.kind is entry_module.EntryKind.MEMBERS:
-            decoded = membership_module.Membership.decode(one.data)
-            self._memberships.append((one.index, decoded))
+        self._entries.append(entry)
+        if entry.kind is entry_module.EntryKind.MEMBERS:
+            decoded = membership_module.Membership.decode(entry.data)
+            self._memberships.append((entry.index, decoded))
 
     def truncate(self, index: int) -> None:
         """Drop the entry at ``index`` and all after it."""
--- a/limpetroute/agreement/membership.py
+++ b/limpetroute/agreement/membership.py
@@ -34,7 +34,7 @@
         object.__setattr__(self, 'voters', voters)
         object.__setattr__(self, 'quorum', len(voters) // 2 + 1)
 
-    def held_by_quorum(
+    def quorum_value(
         self, value_of: typing.Callable[[str], _Value]
     ) -> _Value | None:
         """Return the greatest value that a quorum of voters reaches.
@@ -56,16 +56,16 @@
 
     def get(self, replica_id: str) -> member.Member | None:
         """Return one member."""
-        for one in self.members:
-            if one.replica_id == replica_id:
-                return one
+        for current in self.members:
+            if current.replica_id == replica_id:
+                return current
         return None
 
     def of_host(self, host_id: str) -> member.Member | None:
         """Return the member that a host carries."""
-        for one in self.members:
-            if one.host_id == host_id:
-                return one
+        for current in self.members:
+            if current.host_id == host_id:
+                return current
         return None
 
     def with_learner(self, replica_id: str, host_id: str) -> 'Membership':
@@ -75,13 +75,13 @@
         )
         return Membership(members=(*self.members, learner))
 
-    def promoted(self, replica_id: str) -> 'Membership':
+    def with_voter(self, replica_id: str) -> 'Membership':
         """Return the membership with a learner made voter."""
         members = []
-        for one in self.members:
-            if one.replica_id == replica_id:
-                one = dataclasses.replace(one, voter=True)
-            members.append(one)
+        for current in self.members:
+            if current.replica_id == replica_id:
+                current = dataclasses.replace(current, voter=True)
+            members.append(current)
         return Membership(members=tuple(members))
 
     def without(self, replica_id: str) -> 'Membership':
--- a/limpetroute/agreement/membership_reconciler.py
+++ b/limpetroute/agreement/membership_reconciler.py
@@ -9,7 +9,7 @@
 # disk; taking its place at once would cost a copy of the state each
 # time. After this long without a word, a newcomer that has caught up
 # takes it.
-GONE_S = 6.0
+REPLACE_AFTER_S = 6.0
 
 
 class MembershipReconciler:
@@ -27,12 +27,12 @@
         Silence after which a newcomer takes a host's place.
     """
 
-    def __init__(self, *, gone_s: float = GONE_S) -> None:
-        self._gone_s = gone_s
-        self._seen_s: dict[str, float] = {}
+    def __init__(self, *, replace_after_s: float = REPLACE_AFTER_S) -> None:
+        self._replace_after_s = replace_after_s
+        self._last_seen_s: dict[str, float] = {}
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(seen={len(self._seen_s)!r})'
+        return f'{type(self).__name__}(seen={len(self._last_seen_s)!r})'
 
     def next_change(
         self,
@@ -56,18 +56,18 @@
             The replica's clock.
         """
         if replica.role is not replica_module.Role.LEADER:
-            self._seen_s.clear()
+            self._last_seen_s.clear()
             return None
         members = replica.membership.members
-        for one in members:
-            if present.get(one.host_id) == one.replica_id:
-                self._seen_s[one.replica_id] = now_s
-            self._seen_s.setdefault(one.replica_id, now_s)
-        gone = self._lost_disk(replica, present)
-        if gone is None:
-            gone = self._silent(replica, wanted_voters, now_s)
-        if gone is not None:
-            return events.RemoveMember(replica_id=gone)
+        for member in members:
+            if present.get(member.host_id) == member.replica_id:
+                self._last_seen_s[member.replica_id] = now_s
+            self._last_seen_s.setdefault(member.replica_id, now_s)
+        removed_id = self._member_of_lost_disk(replica, present)
+        if removed_id is None:
+            removed_id = self._silent_member(replica, wanted_voters, now_s)
+        if removed_id is not None:
+            return events.RemoveMember(replica_id=removed_id)
         for host_id, replica_id in sorted(present.items()):
             if replica.membership.get(replica_id) is not None:
                 continue
@@ -76,20 +76,20 @@
             return events.AddLearner(replica_id=replica_id, host_id=host_id)
         return None
 
-    def _lost_disk(
+    def _member_of_lost_disk(
         self,
         replica: replica_module.Replica,
         present: typing.Mapping[str, str],
     ) -> str | None:
-        for one in replica.membership.members:
-            if one.replica_id == replica.replica_id:
+        for member in replica.membership.members:
+            if member.replica_id == replica.replica_id:
                 continue
-            now_there = present.get(one.host_id)
-            if now_there is not None and now_there != one.replica_id:
-                return one.replica_id
+            present_id = present.get(member.host_id)
+            if present_id is not None and present_id != member.replica_id:
+                return member.replica_id
         return None
 
-    def _silent(
+    def _silent_member(
         self,
         replica: replica_module.Replica,
         wanted_voters: int,
@@ -97,18 +97,21 @@
     ) -> str | None:
         voters = replica.membership.voters
         learners = [
-            one.replica_id
-            for one in replica.membership.members
-            if not one.voter
+            member.replica_id
+            for member in replica.membership.members
+            if not member.voter
         ]
-        ready = any(replica.has_caught_up(one) for one in learners)
-        for one in replica.membership.members:
-            if one.replica_id == replica.replica_id:
+        ready = any(replica.has_caught_up(member) for member in learners)
+        for member in replica.membership.members:
+            if member.replica_id == replica.replica_id:
                 continue
-            if now_s - self._seen_s[one.replica_id] <= self._gone_s:
+            if (
+                now_s - self._last_seen_s[member.replica_id]
+                <= self._replace_after_s
+            ):
                 continue
-            if not one.voter:
-                return one.replica_id
+            if not member.voter:
+                return member.replica_id
             if ready and len(voters) >= wanted_voters:
-                return one.replica_id
+                return member.replica_id
         return None
--- a/limpetroute/agreement/replica.py
+++ b/limpetroute/agreement/replica.py
@@ -17,7 +17,7 @@
 from limpetroute.agreement import timings as timings_module
 from limpetroute.agreement import write_queue
 
-_NOTHING = effects.Effects()
+_NO_EFFECTS = effects.Effects()
 
 
 class Role(enum.StrEnum):
@@ -76,18 +76,20 @@
         # A replica that restarts has forgotten when it last heard the
         # leader. Voting at once, it could elect another leader while the
         # first one's lease runs; so it waits as if it had just heard.
-        self._heard_s = now_s
+        self._last_leader_message_s = now_s
         self._election_due_s = 0.0
         self._heartbeat_due_s = 0.0
-        self._led_since_s = -math.inf
+        self._leader_since_s = -math.inf
         self._votes: set[str] = set()
         self._replication = self._new_replication()
-        self._disk = write_queue.WriteQueue(last_index=self.log.last_index)
+        self._write_queue = write_queue.WriteQueue(
+            last_index=self.log.last_index
+        )
         self._outbox = outbox.Outbox()
         self._writes: list[effects.Write] = []
         self._restored: snapshot_module.Snapshot | None = None
         self._proposal: effects.Appended | effects.Refused | None = None
-        self._put_off_election()
+        self._reset_election_timer()
 
     def __repr__(self) -> str:
         return (
@@ -104,7 +106,7 @@
     @property
     def synced_index(self) -> int:
         """The last entry that is on this replica's own disk."""
-        return self._disk.synced_index
+        return self._write_queue.synced_index
 
     def lease_valid(self, now_s: float) -> bool:
         """Return whether no other leader can have been elected yet."""
@@ -126,14 +128,14 @@
             return self.lease_valid(now_s)
         if self.role is Role.FAILED or not self.leader_id:
             return False
-        return now_s - self._heard_s < self.timings.election_s
+        return now_s - self._last_leader_message_s < self.timings.election_s
 
     def match_index(self, replica_id: str) -> int | None:
         """Return how far a member has come, if this replica leads."""
         if self.role is not Role.LEADER:
             return None
         if replica_id == self.replica_id:
-            return self._disk.synced_index
+            return self._write_queue.synced_index
         return self._replication.match_index(replica_id)
 
     def step(self, event: events.Event, now_s: float) -> effects.Effects:
@@ -172,19 +174,19 @@
             return
         if self._now_s < self._election_due_s:
             return
-        self._put_off_election()
+        self._reset_election_timer()
         if self.replica_id not in self.membership.voters:
             self.leader_id = ''
             return
-        if self._asks_first():
+        if self._uses_pre_vote():
             self._start_pre_vote()
             return
         self._start_election()
 
     def _tick_leader(self) -> None:
         quorum_s = self._quorum_round_s(self._now_s)
-        heard_s = max(quorum_s, self._led_since_s)
-        if self._now_s - heard_s > self.timings.election_s:
+        last_contact_s = max(quorum_s, self._leader_since_s)
+        if self._now_s - last_contact_s > self.timings.election_s:
             # Check-quorum: a leader cut off from its quorum would go on
             # taking proposals that never commit, and callers wait in
             # vain; it shows as no answered round for an election time.
@@ -194,13 +196,13 @@
             self._broadcast()
         self._promote_learners()
 
-    def _put_off_election(self) -> None:
+    def _reset_election_timer(self) -> None:
         wait_s = self.timings.election_s * (1 + self._rng.random())
         self._election_due_s = self._now_s + wait_s
 
     # Elections
 
-    def _asks_first(self) -> bool:
+    def _uses_pre_vote(self) -> bool:
         """Return whether a pre-vote goes before an election.
 
         A replica that was cut off would otherwise come back with a
@@ -213,10 +215,10 @@
         self.role = Role.PRE_CANDIDATE
         self.leader_id = ''
         self._votes = {self.replica_id}
-        if self._won():
+        if self._has_won_votes():
             self._start_election()
             return
-        self._to_voters(
+        self._send_to_voters(
             messages.PreVoteRequest(
                 term=self.term + 1,
                 last_index=self.log.last_index,
@@ -230,10 +232,10 @@
         self.leader_id = ''
         self._set_vote(self.term + 1, self.replica_id)
         self._votes = {self.replica_id}
-        if self._won():
+        if self._has_won_votes():
             self._become_leader()
             return
-        self._to_voters(
+        self._send_to_voters(
             messages.VoteRequest(
                 term=self.term,
                 last_index=self.log.last_index,
@@ -242,7 +244,7 @@
             durable=True,
         )
 
-    def _won(self) -> bool:
+    def _has_won_votes(self) -> bool:
         votes = self._votes.intersection(self.membership.voters)
         return len(votes) >= self.membership.quorum
 
@@ -258,7 +260,7 @@
             self._outbox.drop()
             self._set_vote(term, '')
         if self.role is not Role.FOLLOWER:
-            self._put_off_election()
+            self._reset_election_timer()
         self.role = Role.FOLLOWER
         self.leader_id = leader_id
         self._votes = set()
@@ -271,7 +273,7 @@
     def _become_leader(self) -> None:
         self.role = Role.LEADER
         self.leader_id = self.replica_id
-        self._led_since_s = self._now_s
+        self._leader_since_s = self._now_s
         self._replication = self._new_replication()
         # An entry of the own term commits all earlier ones with it; an
         # older entry on a quorum alone may still be replaced.
@@ -307,11 +309,13 @@
     def _leader_is_alive(self) -> bool:
         if self.role is Role.LEADER:
             return True
-        return self._now_s - self._heard_s < self.timings.election_s
+        return (
+            self._now_s - self._last_leader_message_s < self.timings.election_s
+        )
 
     def _log_is_current(self, last_term: int, last_index: int) -> bool:
-        mine = (self.log.last_term, self.log.last_index)
-        return (last_term, last_index) >= mine
+        own = (self.log.last_term, self.log.last_index)
+        return (last_term, last_index) >= own
 
     def _on_pre_vote(
         self, sender: str, message: messages.PreVoteRequest
@@ -340,7 +344,7 @@
             sender,
         ) and self._log_is_current(message.last_term, message.last_index)
         if granted:
-            self._put_off_election()
+            self._reset_election_timer()
             if not self.voted_for:
                 self._set_vote(self.term, sender)
         self._send(
@@ -354,7 +358,7 @@
             pre = self.role is Role.PRE_CANDIDATE
             if pre and message.term == self.term + 1:
                 self._votes.add(sender)
-                if self._won():
+                if self._has_won_votes():
                     self._start_election()
             return
         if message.term > self.term:
@@ -365,7 +369,7 @@
         if isinstance(message, messages.VoteReply):
             if self.role is Role.CANDIDATE and message.granted:
                 self._votes.add(sender)
-                if self._won():
+                if self._has_won_votes():
                     self._become_leader()
             return
         if isinstance(message, messages.AppendReply):
@@ -388,8 +392,8 @@
             )
             return
         self._become_follower(max(message.term, self.term), leader_id=sender)
-        self._heard_s = self._now_s
-        self._put_off_election()
+        self._last_leader_message_s = self._now_s
+        self._reset_election_timer()
         if isinstance(message, messages.SnapshotRequest):
             self._take_snapshot(message.snapshot)
             ok, index = True, message.snapshot.last_index
@@ -419,10 +423,10 @@
             if term is None:
                 return False, self.log.last_index
             if term != message.prev_term:
-                return False, self.log.before_term(
+                return False, self.log.last_index_before_term(
                     message.prev_index, term, self.commit_index
                 )
-        fresh = self.log.first_fresh(message.entries)
+        fresh = self.log.first_new(message.entries)
         if fresh is not None:
             self._replace_from(message.entries[fresh:])
         if self.role is Role.FAILED:
@@ -439,7 +443,7 @@
             return
         if first <= self.log.last_index:
             self.log.truncate(first)
-            self._disk.truncated(first)
+            self._write_queue.truncate(first)
         for one in entries:
             self.log.append(one)
         self._write(effects.SaveEntries(entries=entries))
@@ -449,7 +453,7 @@
             return
         keeps = self.log.term_at(snapshot.last_index) == snapshot.last_term
         if not keeps:
-            self._disk.truncated(self.log.base_index + 1)
+            self._write_queue.truncate(self.log.base_index + 1)
             self.log = log_module.Log(snapshot=snapshot)
         else:
             self.log.compact(snapshot)
@@ -461,9 +465,9 @@
     # A leader's log
 
     def _propose(self, commands: tuple[bytes, ...]) -> None:
-        refused = self._why_not_propose()
-        if refused:
-            self._proposal = effects.Refused(reason=refused)
+        refusal = self._propose_refusal()
+        if refusal:
+            self._proposal = effects.Refused(reason=refusal)
             return
         first = self.log.last_index + 1
         for command in commands:
@@ -471,7 +475,7 @@
         self._proposal = effects.Appended(first_index=first, term=self.term)
         self._broadcast()
 
-    def _why_not_propose(self) -> str:
+    def _propose_refusal(self) -> str:
         if self.role is not Role.LEADER:
             return 'not the leader'
         if not self.lease_valid(self._now_s):
@@ -511,21 +515,21 @@
     ) -> None:
         if self.role is not Role.LEADER:
             return
-        more = self._replication.take_reply(sender, message, self.log)
+        more = self._replication.handle_reply(sender, message, self.log)
         if message.ok:
             self._advance_commit()
         if more:
             self._send_log(sender)
 
     def _advance_commit(self) -> None:
-        agreed = self._replication.quorum_index(
-            self.membership, own_index=self._disk.synced_index
+        quorum_index = self._replication.quorum_index(
+            self.membership, own_index=self._write_queue.synced_index
         )
-        if agreed is None or agreed <= self.commit_index:
+        if quorum_index is None or quorum_index <= self.commit_index:
             return
-        if self.log.term_at(agreed) != self.term:
+        if self.log.term_at(quorum_index) != self.term:
             return
-        self.commit_index = agreed
+        self.commit_index = quorum_index
         # Followers learn of it soon, not with the next full heartbeat.
         soon_s = self._now_s + self.timings.heartbeat_s / 8
         self._heartbeat_due_s = min(self._heartbeat_due_s, soon_s)
@@ -537,29 +541,29 @@
     # Membership
 
     def _add_learner(self, event: events.AddLearner) -> None:
-        refused = self._why_not_change()
-        if not refused and self.membership.get(event.replica_id):
-            refused = f'{event.replica_id!r} is a member already'
-        if not refused and self.membership.of_host(event.host_id):
-            refused = f'host {event.host_id!r} has a member already'
-        if refused:
-            self._proposal = effects.Refused(reason=refused)
+        refusal = self._change_refusal()
+        if not refusal and self.membership.get(event.replica_id):
+            refusal = f'{event.replica_id!r} is a member already'
+        if not refusal and self.membership.of_host(event.host_id):
+            refusal = f'host {event.host_id!r} has a member already'
+        if refusal:
+            self._proposal = effects.Refused(reason=refusal)
             return
         self._change(
             self.membership.with_learner(event.replica_id, event.host_id)
         )
 
     def _remove_member(self, replica_id: str) -> None:
-        refused = self._why_not_change() or self._why_not_remove(replica_id)
-        if refused:
-            self._proposal = effects.Refused(reason=refused)
+        refusal = self._change_refusal() or self._remove_refusal(replica_id)
+        if refusal:
+            self._proposal = effects.Refused(reason=refusal)
             return
         self._change(self.membership.without(replica_id))
 
-    def _why_not_change(self) -> str:
-        refused = self._why_not_propose()
-        if refused:
-            return refused
+    def _change_refusal(self) -> str:
+        refusal = self._propose_refusal()
+        if refusal:
+            return refusal
         # One change at a time: quorums of two memberships that differ
         # by two voters need not meet, and each could elect its leader.
         if self.log.membership_index > self.commit_index:
@@ -570,7 +574,7 @@
             return 'the leader is new'
         return ''
 
-    def _why_not_remove(self, replica_id: str) -> str:
+    def _remove_refusal(self, replica_id: str) -> str:
         one = self.membership.get(replica_id)
         if one is None:
             return f'{replica_id!r} is not a member'
@@ -578,15 +582,15 @@
             return 'the leader does not remove itself'
         if not one.voter:
             return ''
-        left = len(self.membership.voters) - 1
-        if left < self.timings.min_voters:
-            return f'{left} voters would be left'
-        if self._heard_lately(replica_id):
+        remaining = len(self.membership.voters) - 1
+        if remaining < self.timings.min_voters:
+            return f'{remaining} voters would be left'
+        if self._answered_recently(replica_id):
             return f'{replica_id!r} still answers'
         return ''
 
-    def _heard_lately(self, replica_id: str) -> bool:
-        ago_s = self._now_s - self._replication.answered_s(replica_id)
+    def _answered_recently(self, replica_id: str) -> bool:
+        ago_s = self._now_s - self._replication.last_answered_s(replica_id)
         return ago_s <= self.timings.election_s
 
     def _change(self, membership: membership_module.Membership) -> None:
@@ -597,16 +601,16 @@
         self._broadcast()
 
     def _promote_learners(self) -> None:
-        if self._why_not_change():
+        if self._change_refusal():
             return
         for one in self.membership.members:
             if one.voter or not self.has_caught_up(one.replica_id):
                 continue
-            if self._is_full():
+            if self._has_max_voters():
                 return
-            kept = self._proposal
-            self._change(self.membership.promoted(one.replica_id))
-            self._proposal = kept
+            proposal = self._proposal
+            self._change(self.membership.with_voter(one.replica_id))
+            self._proposal = proposal
             return
 
     def has_caught_up(self, replica_id: str) -> bool:
@@ -616,18 +620,18 @@
         failure stops all commits until the whole state was copied; it
         shows as a group of three that lost one host and stands still.
         """
-        if not self._heard_lately(replica_id):
+        if not self._answered_recently(replica_id):
             return False
         return self._replication.match_index(replica_id) >= self.commit_index
 
-    def _is_full(self) -> bool:
+    def _has_max_voters(self) -> bool:
         wanted = self.timings.max_voters
         return wanted is not None and len(self.membership.voters) >= wanted
 
     # Disk
 
     def _persisted(self, write_id: int) -> None:
-        self._disk.persisted(write_id)
+        self._write_queue.mark_synced(write_id)
         self._outbox.release(write_id)
         if self.role is Role.LEADER:
             self._advance_commit()
@@ -651,7 +655,7 @@
         # The state may be ahead of a disk that hangs. A snapshot of it
         # would be ahead of the log below it, and a restart would find a
         # hole between the two.
-        if event.index > self._disk.synced_index:
+        if event.index > self._write_queue.synced_index:
             return
         term = self.log.term_at(event.index)
         assert term is not None
@@ -668,7 +672,7 @@
 
     def _write(self, write: effects.Write) -> None:
         if not self._writes:
-            self._disk.issue()
+            self._write_queue.issue()
         self._writes.append(write)
 
     def _send(
@@ -678,14 +682,16 @@
             sender=self.replica_id, to=to, message=message
         )
         if durable and not self._is_synced():
-            self._outbox.hold(self._disk.issued, envelope)
+            self._outbox.hold(self._write_queue.issued, envelope)
             return
         self._outbox.ready.append(envelope)
 
     def _is_synced(self) -> bool:
-        return self._disk.synced >= self._disk.issued
+        return self._write_queue.synced >= self._write_queue.issued
 
-    def _to_voters(self, message: messages.Message, *, durable: bool) -> None:
+    def _send_to_voters(
+        self, message: messages.Message, *, durable: bool
+    ) -> None:
         for voter in self.membership.voters:
             if voter != self.replica_id:
                 self._send(voter, message, durable=durable)
@@ -694,14 +700,14 @@
         writes = tuple(self._writes)
         if writes:
             self._writes.clear()
-            self._disk.close(self.log.last_index)
+            self._write_queue.record_log_end(self.log.last_index)
         sends = self._outbox.take()
         committed = self._take_committed()
         if not (writes or sends or committed or self._restored):
             if self._proposal is None:
-                return _NOTHING
+                return _NO_EFFECTS
         return effects.Effects(
-            write_id=self._disk.issued if writes else None,
+            write_id=self._write_queue.issued if writes else None,
             writes=writes,
             sends=sends,
             restored=self._restored,
--- a/limpetroute/agreement/replication.py
+++ b/limpetroute/agreement/replication.py
@@ -45,14 +45,14 @@
         now_s: float,
     ) -> messages.AppendRequest | messages.SnapshotRequest:
         """Return what a member is to be sent next."""
-        known = self._progress.get(to)
-        if known is None:
-            known = progress_module.Progress(next_index=log.last_index)
-            self._progress[to] = known
-        if known.next_index <= log.base_index:
-            waited_s = now_s - known.snapshot_sent_s
+        progress = self._progress.get(to)
+        if progress is None:
+            progress = progress_module.Progress(next_index=log.last_index)
+            self._progress[to] = progress
+        if progress.next_index <= log.base_index:
+            waited_s = now_s - progress.snapshot_sent_s
             if waited_s >= self._timings.snapshot_timeout_s:
-                known.snapshot_sent_s = now_s
+                progress.snapshot_sent_s = now_s
                 return messages.SnapshotRequest(
                     term=self._term, snapshot=log.snapshot, round_s=now_s
                 )
@@ -60,11 +60,11 @@
             # from asking for an election; it is refused by its log.
             first = log.last_index + 1
         else:
-            first = known.next_index
+            first = progress.next_index
         last = first + self._timings.max_append_entries - 1
         entries = self._bounded(log.between(first, min(log.last_index, last)))
         if entries:
-            known.next_index += len(entries)
+            progress.next_index += len(entries)
         prev_term = log.term_at(first - 1)
         assert prev_term is not None
         return messages.AppendRequest(
@@ -86,43 +86,45 @@
         from the same place each time, the member never catches up.
         """
         size = 0
-        for place, one in enumerate(entries):
-            size += len(one.data)
-            if place and size > self._timings.max_append_bytes:
-                return entries[:place]
+        for position, item in enumerate(entries):
+            size += len(item.data)
+            if position and size > self._timings.max_append_bytes:
+                return entries[:position]
         return entries
 
-    def take_reply(
+    def handle_reply(
         self, sender: str, reply: messages.AppendReply, log: log_module.Log
     ) -> bool:
         """Take a member's reply; return whether it needs more at once."""
-        known = self._progress.get(sender)
-        if known is None:
+        progress = self._progress.get(sender)
+        if progress is None:
             return False
-        known.acked_round_s = max(known.acked_round_s, reply.round_s)
+        progress.acked_round_s = max(progress.acked_round_s, reply.round_s)
         if not reply.ok:
-            back = min(known.next_index, reply.match_index + 1)
-            known.next_index = max(known.match_index + 1, back)
-            return known.next_index > log.base_index
-        known.match_index = max(known.match_index, reply.match_index)
-        known.next_index = max(known.next_index, known.match_index + 1)
-        return known.next_index <= log.last_index
+            back = min(progress.next_index, reply.match_index + 1)
+            progress.next_index = max(progress.match_index + 1, back)
+            return progress.next_index > log.base_index
+        progress.match_index = max(progress.match_index, reply.match_index)
+        progress.next_index = max(
+            progress.next_index, progress.match_index + 1
+        )
+        return progress.next_index <= log.last_index
 
     def match_index(self, replica_id: str) -> int:
         """Return the last entry that a member has on disk."""
-        known = self._progress.get(replica_id)
-        return 0 if known is None else known.match_index
+        progress = self._progress.get(replica_id)
+        return 0 if progress is None else progress.match_index
 
-    def answered_s(self, replica_id: str) -> float:
+    def last_answered_s(self, replica_id: str) -> float:
         """Return when the newest answered message was sent."""
-        known = self._progress.get(replica_id)
-        return -math.inf if known is None else known.acked_round_s
+        progress = self._progress.get(replica_id)
+        return -math.inf if progress is None else progress.acked_round_s
 
     def quorum_index(
         self, membership: membership_module.Membership, *, own_index: int
     ) -> int | None:
         """Return the last entry that a quorum has on disk."""
-        return membership.held_by_quorum(
+        return membership.quorum_value(
             lambda voter: (
                 own_index
                 if voter == self._replica_id
@@ -134,9 +136,11 @@
         self, membership: membership_module.Membership, *, now_s: float
     ) -> float:
         """Return the newest send time that a quorum has answered."""
-        round_s = membership.held_by_quorum(
+        round_s = membership.quorum_value(
             lambda voter: (
-                now_s if voter == self._replica_id else self.answered_s(voter)
+                now_s
+                if voter == self._replica_id
+                else self.last_answered_s(voter)
             )
         )
         return -math.inf if round_s is None else round_s
--- a/limpetroute/agreement/write_queue.py
+++ b/limpetroute/agreement/write_queue.py
@@ -30,11 +30,11 @@
         """Count one more write."""
         self.issued += 1
 
-    def close(self, last_index: int) -> None:
+    def record_log_end(self, last_index: int) -> None:
         """Note where the log ends after the newest write."""
         self._pending.append((self.issued, last_index))
 
-    def truncated(self, index: int) -> None:
+    def truncate(self, index: int) -> None:
         """Note that the log was cut before ``index``.
 
         A sync of an earlier write must not count entries that a newer
@@ -46,7 +46,7 @@
             (number, min(end, last)) for number, end in self._pending
         )
 
-    def persisted(self, write_id: int) -> None:
+    def mark_synced(self, write_id: int) -> None:
         """Note that writes up to ``write_id`` are synced."""
         self.synced = max(self.synced, write_id)
         while self._pending and self._pending[0][0] <= write_id:
--- a/tests/agreement/cluster.py
+++ b/tests/agreement/cluster.py
@@ -109,43 +109,47 @@
 
     replica_type = agreement.Replica
     syncs_before_ack = True
-    lost_disk_renames = True
+    renames_lost_disk = True
     # Hosts that found the group; None for all of them.
-    founders = None
+    bootstrap_count = None
 
     def __init__(self, size, seed):
         self.size = size
         self.rng = random.Random(seed)
         self.now_s = 0.0
         self.timings = dataclasses.replace(TIMINGS, min_voters=size // 2 + 1)
-        self.flying = []
+        self.in_flight = []
         self.blocked = set()
         # Hosts whose disks answer nothing for now.
         self.stalled = set()
-        self.loss = 0.0
-        self.duplicates = 0.0
-        self.jitter = 0
-        self.strays = 0.0
-        self.lost_ids = set()
+        self.loss_rate = 0.0
+        self.duplicate_rate = 0.0
+        self.max_delay_steps = 0
+        self.stray_rate = 0.0
+        self.lost_replica_ids = set()
         self.chosen = {}
         self.acked = {}
         self.claims = {}
         self.manifests = {}
         self.newest_manifest = 0
         self.leaders = {}
-        self.waiting = {}
+        self.proposed = {}
         self.steps = 0
         self.commands = 0
         hosts = [f'c{place}' for place in range(size)]
-        founding = hosts[: self.founders]
-        founded = agreement.initial_state(
-            {host: f'{host}.0' for host in founding}
+        bootstrap_hosts = hosts[: self.bootstrap_count]
+        first_state = agreement.initial_state(
+            {host: f'{host}.0' for host in bootstrap_hosts}
         )
         self.nodes = {}
         drift = self.timings.drift
         for host in hosts:
             rate = 1 + self.rng.uniform(-drift, drift)
-            saved = founded if host in founding else agreement.SavedState()
+            saved = (
+                first_state
+                if host in bootstrap_hosts
+                else agreement.SavedState()
+            )
             self.nodes[host] = Node(host, f'{host}.0', saved, rate)
         for host in hosts:
             self.start(host)
@@ -173,13 +177,15 @@
             return
         node.replica = None
         node.disk.crash(kept)
-        self.waiting = {k: v for k, v in self.waiting.items() if k[0] != host}
+        self.proposed = {
+            k: v for k, v in self.proposed.items() if k[0] != host
+        }
 
     def lose_disk(self, host):
         node = self.nodes[host]
         self.crash(host, 0)
-        self.lost_ids.add(node.replica_id)
-        if self.lost_disk_renames:
+        self.lost_replica_ids.add(node.replica_id)
+        if self.renames_lost_disk:
             number = int(node.replica_id.split('.')[1]) + 1
             node.replica_id = f'{host}.{number}'
         node.disk = Disk(agreement.SavedState())
@@ -196,8 +202,8 @@
         lost = [
             v
             for v in voters
-            if v in self.lost_ids
-            and (self.lost_disk_renames or not self._whole(replica, v))
+            if v in self.lost_replica_ids
+            and (self.renames_lost_disk or not self._whole(replica, v))
         ]
         if self.nodes[host].replica_id not in voters:
             return True
@@ -237,22 +243,22 @@
         self.steps += 1
         replica = node.replica
         was_leader = replica.role is agreement.Role.LEADER
-        got = replica.step(event, self.clock(node))
-        if got.write_id is not None:
-            node.disk.pending.append((got.write_id, got.writes))
-        if got.restored is not None:
-            node.app = App(got.restored.data)
-        for entry in got.committed:
+        effects = replica.step(event, self.clock(node))
+        if effects.write_id is not None:
+            node.disk.pending.append((effects.write_id, effects.writes))
+        if effects.restored is not None:
+            node.app = App(effects.restored.data)
+        for entry in effects.committed:
             self._committed(node, entry)
         if replica.role is agreement.Role.LEADER and not was_leader:
             self._check_new_leader(node)
         if replica.role is agreement.Role.FAILED:
             assert replica.failure == 'disk full', replica.failure
-        for envelope in got.sends:
+        for envelope in effects.sends:
             self._send(node, envelope)
-        if not self.syncs_before_ack and got.write_id is not None:
-            self.step(node, agreement.Persisted(write_id=got.write_id))
-        return got
+        if not self.syncs_before_ack and effects.write_id is not None:
+            self.step(node, agreement.Persisted(write_id=effects.write_id))
+        return effects
 
     def run(self, count):
         for _ in range(count):
@@ -268,10 +274,10 @@
         node = self.nodes[host]
         if node.replica is None or node.frozen:
             return
-        got = self.step(node, agreement.Propose(commands=(data,)))
-        if isinstance(got.proposal, agreement.Appended):
-            key = (host, node.incarnation, got.proposal.first_index)
-            self.waiting[key] = got.proposal.term
+        effects = self.step(node, agreement.Propose(commands=(data,)))
+        if isinstance(effects.proposal, agreement.Appended):
+            key = (host, node.incarnation, effects.proposal.first_index)
+            self.proposed[key] = effects.proposal.term
 
     def compact(self, host):
         node = self.nodes[host]
@@ -282,12 +288,12 @@
         )
         self.step(node, event)
 
-    def calm(self):
+    def end_faults(self):
         """End all faults, as operators do, and leave it some time."""
         self.blocked.clear()
         self.stalled.clear()
-        self.loss = self.duplicates = self.strays = 0.0
-        self.jitter = 0
+        self.loss_rate = self.duplicate_rate = self.stray_rate = 0.0
+        self.max_delay_steps = 0
         for node in self.nodes.values():
             node.frozen = False
             failed = (
@@ -316,41 +322,47 @@
         return self.is_repaired(leader) and self._all_whole(leader.replica)
 
     def _deliver(self):
-        due = [item for item in self.flying if item[0] <= self.now_s]
-        self.flying = [item for item in self.flying if item[0] > self.now_s]
-        if self.jitter:
+        due = [item for item in self.in_flight if item[0] <= self.now_s]
+        self.in_flight = [
+            item for item in self.in_flight if item[0] > self.now_s
+        ]
+        if self.max_delay_steps:
             self.rng.shuffle(due)
         for _, to_host, envelope in due:
             node = self.nodes[to_host]
             if node.replica is None:
                 continue
             if node.frozen:
-                self.flying.append((self.now_s, to_host, envelope))
+                self.in_flight.append((self.now_s, to_host, envelope))
                 continue
             self.step(node, agreement.Received(envelope=envelope))
 
     def _send(self, node, envelope):
         to_host = envelope.to.split('.')[0]
-        if self.strays and self.rng.random() < self.strays:
+        if self.stray_rate and self.rng.random() < self.stray_rate:
             late_s = self.rng.randrange(STRAY_STEPS) * MICRO_STEP_S
-            self.flying.append((self.now_s + late_s, to_host, envelope))
+            self.in_flight.append((self.now_s + late_s, to_host, envelope))
         if (node.host_id, to_host) in self.blocked:
             return
-        if self.loss and self.rng.random() < self.loss:
+        if self.loss_rate and self.rng.random() < self.loss_rate:
             return
         copies = 1
-        if self.duplicates and self.rng.random() < self.duplicates:
+        if self.duplicate_rate and self.rng.random() < self.duplicate_rate:
             copies = 2
         for _ in range(copies):
-            late = 1 + (self.rng.randrange(self.jitter) if self.jitter else 0)
+            late = 1 + (
+                self.rng.randrange(self.max_delay_steps)
+                if self.max_delay_steps
+                else 0
+            )
             due_s = self.now_s + late * MICRO_STEP_S / 2
             if isinstance(envelope.message, messages.SnapshotRequest):
                 due_s += SNAPSHOT_S
-            self.flying.append((due_s, to_host, envelope))
+            self.in_flight.append((due_s, to_host, envelope))
 
     def _sync(self, node):
         count = len(node.disk.pending)
-        if count and self.jitter:
+        if count and self.max_delay_steps:
             count = self.rng.randint(0, count)
         if not count or node.replica is None:
             return
@@ -392,7 +404,7 @@
             return
         won = node.app.apply(entry.data)
         key = (node.host_id, node.incarnation, entry.index)
-        term = self.waiting.pop(key, None)
+        term = self.proposed.pop(key, None)
         if term != entry.term:
             return
         self.acked[entry.index] = entry.term
--- a/tests/agreement/seed_cluster.py
+++ b/tests/agreement/seed_cluster.py
@@ -7,14 +7,14 @@
 from tests.agreement import cluster
 
 VOTERS = 5
-GONE_S = 3.0
+REPLACE_AFTER_S = 3.0
 
 
 class SeedCluster(cluster.Cluster):
-    founders = 3
+    bootstrap_count = 3
 
     def __init__(self, size, seed):
-        self.turnovers = {}
+        self.reconcilers = {}
         super().__init__(size, seed)
 
     def start(self, host):
@@ -22,17 +22,20 @@
             self.timings, min_voters=2, max_voters=VOTERS
         )
         super().start(host)
-        self.turnovers.setdefault(
-            host, membership_reconciler.MembershipReconciler(gone_s=GONE_S)
+        self.reconcilers.setdefault(
+            host,
+            membership_reconciler.MembershipReconciler(
+                replace_after_s=REPLACE_AFTER_S
+            ),
         )
 
-    def go_for_good(self, host):
+    def replace_host(self, host):
         """A host is gone; an empty one comes at another address."""
         self.crash(host, 0)
         gone = self.nodes.pop(host)
-        self.lost_ids.add(gone.replica_id)
+        self.lost_replica_ids.add(gone.replica_id)
         number = max(int(one[1:]) for one in self.nodes) + 1
-        new = f'c{max(number, self.size) + len(self.lost_ids)}'
+        new = f'c{max(number, self.size) + len(self.lost_replica_ids)}'
         self.nodes[new] = cluster.Node(
             new, f'{new}.0', agreement.SavedState(), 1.0
         )
@@ -41,7 +44,9 @@
 
     def _deliver(self):
         # What is on its way to a host that is gone reaches nobody.
-        self.flying = [one for one in self.flying if one[1] in self.nodes]
+        self.in_flight = [
+            one for one in self.in_flight if one[1] in self.nodes
+        ]
         super()._deliver()
 
     def _replace_lost(self):
@@ -51,7 +56,7 @@
                 for node in self.running()
                 if (node.host_id, leader.host_id) not in self.blocked
             }
-            change = self.turnovers[leader.host_id].next_change(
+            change = self.reconcilers[leader.host_id].next_change(
                 replica=leader.replica,
                 present=present,
                 wanted_voters=VOTERS,
--- a/tests/agreement/test_fuzz.py
+++ b/tests/agreement/test_fuzz.py
@@ -95,12 +95,12 @@
         leader = self.cluster.leader()
         if leader is None:
             return
-        before = self.cluster.strays
-        self.cluster.strays = strays
+        before = self.cluster.stray_rate
+        self.cluster.stray_rate = strays
         self.cut_off(int(leader.host_id[1:]), True, True)
         self.claim(self.cluster.commands)
         self.cluster.run(2)
-        self.cluster.strays = before
+        self.cluster.stray_rate = before
         self.cluster.run(count)
         self.claim(self.cluster.commands)
         self.cluster.run(2)
@@ -122,12 +122,12 @@
         strays=st.sampled_from([0.0, 0.2]),
         jitter=st.sampled_from([0, 3, 8]),
     )
-    def weather(self, loss, duplicates, strays, jitter):
+    def network_faults(self, loss, duplicates, strays, jitter):
         self.host(0)
-        self.cluster.loss = loss
-        self.cluster.duplicates = duplicates
-        self.cluster.strays = strays
-        self.cluster.jitter = jitter
+        self.cluster.loss_rate = loss
+        self.cluster.duplicate_rate = duplicates
+        self.cluster.stray_rate = strays
+        self.cluster.max_delay_steps = jitter
 
     @stateful.rule(number=HOSTS)
     def compact(self, number):
@@ -161,7 +161,7 @@
     def second_failure_right_after_repair(self, number):
         """A disk is lost and replaced; at that moment a host dies."""
         host = self.host(number)
-        leader = self.cluster.calm()
+        leader = self.cluster.end_faults()
         if leader.host_id == host:
             return
         self.cluster.compact(leader.host_id)
@@ -200,7 +200,7 @@
     def calm_then_return(self, number):
         """All is well again, and a host that was cut off comes back."""
         host = self.host(number)
-        leader = self.cluster.calm()
+        leader = self.cluster.end_faults()
         self.cluster.check_reads()
         if leader.host_id == host:
             return
@@ -222,7 +222,7 @@
     def teardown(self):
         if self.cluster is None:
             return
-        self.cluster.calm()
+        self.cluster.end_faults()
         self.cluster.check_reads()
 
 
--- a/tests/agreement/test_mutants.py
+++ b/tests/agreement/test_mutants.py
@@ -20,7 +20,7 @@
 
 
 class NoPreVote(agreement.Replica):
-    def _asks_first(self):
+    def _uses_pre_vote(self):
         return False
 
 
@@ -51,7 +51,7 @@
 
 
 class LostDiskCluster(cluster_module.Cluster):
-    lost_disk_renames = False
+    renames_lost_disk = False
 
 
 class UnsyncedCluster(cluster_module.Cluster):
@@ -85,8 +85,8 @@
             ),
         )
     except AssertionError as exc:
-        how = str(exc).split('\n')[0]
-        return Machine.examples, Machine.rules_run, how
+        message = str(exc).split('\n')[0]
+        return Machine.examples, Machine.rules_run, message
     return None
 
 
@@ -104,5 +104,5 @@
 def test_guard_taken_out_is_caught(cluster):
     caught = run_until_caught(cluster, 3)
     assert caught is not None, f'{cluster.__name__} was not caught'
-    examples, steps, how = caught
-    print(f'{cluster.__name__}: {examples} examples, {steps} steps: {how}')
+    examples, steps, message = caught
+    print(f'{cluster.__name__}: {examples} examples, {steps} steps: {message}')
--- a/tests/agreement/test_power_and_disks.py
+++ b/tests/agreement/test_power_and_disks.py
@@ -15,7 +15,7 @@
     return json.dumps(['claim', key, 'clerk']).encode()
 
 
-def acknowledged(seed):
+def acknowledged_cluster(seed):
     """Return a group that has acknowledged a change a moment ago.
 
     Disks are slow by turns, so no more of them have the change than the
@@ -23,7 +23,7 @@
     """
     cluster = cluster_module.Cluster(5, seed=seed)
     cluster.run(25)
-    cluster.jitter = 4
+    cluster.max_delay_steps = 4
     cluster.propose(cluster.leader().host_id, claim('last'))
     for _ in range(ACK_ROUNDS):
         cluster.run(1)
@@ -37,13 +37,13 @@
 @pytest.mark.parametrize('lost', list(itertools.combinations(HOSTS, 2)))
 def test_what_was_acknowledged_outlives_two_disks_and_all_power(lost):
     for seed in range(6):
-        cluster = acknowledged(seed)
+        cluster = acknowledged_cluster(seed)
         for host in HOSTS:
             if host in lost:
                 cluster.lose_disk(host)
             else:
                 cluster.crash(host, 0)
-        cluster.flying.clear()
+        cluster.in_flight.clear()
         for host in HOSTS:
             cluster.start(host)
         for _ in range(RECOVERY_ROUNDS):
--- a/tests/agreement/test_turnover.py
+++ b/tests/agreement/test_turnover.py
@@ -26,12 +26,12 @@
         return hosts[number % len(hosts)]
 
     @stateful.rule(number=HOSTS)
-    def go_for_good(self, number):
+    def replace_host(self, number):
         """A host is removed for good after the group was whole."""
-        leader = self.cluster.calm()
+        leader = self.cluster.end_faults()
         host = self.host(number)
         acked = dict(self.cluster.acked)
-        new = self.cluster.go_for_good(host)
+        new = self.cluster.replace_host(host)
         for _ in range(150):
             self.cluster.run(3)
             leader = self.cluster.leader()
@@ -55,20 +55,20 @@
 )
 
 
-def whole(seed):
+def repaired_cluster(seed):
     cluster = seed_cluster.SeedCluster(5, seed)
-    cluster.calm()
+    cluster.end_faults()
     return cluster
 
 
 def test_three_seeds_grow_to_five_voters():
     for seed in range(10):
-        leader = whole(seed).leader()
+        leader = repaired_cluster(seed).leader()
         assert len(leader.replica.membership.voters) == seed_cluster.VOTERS
 
 
 def test_a_host_that_is_away_keeps_its_place_without_a_newcomer():
-    cluster = whole(1)
+    cluster = repaired_cluster(1)
     away = next(
         host for host in cluster.nodes if host != cluster.leader().host_id
     )
@@ -77,23 +77,28 @@
     assert f'{away}.0' in cluster.leader().replica.membership.voters
 
 
-class Hasty(membership_reconciler.MembershipReconciler):
+class HastyReconciler(membership_reconciler.MembershipReconciler):
     """Removes silent voters whether or not another can take the place."""
 
-    def _silent(self, replica, wanted_voters, now_s):
+    def _silent_member(self, replica, wanted_voters, now_s):
         for one in replica.membership.members:
             if one.replica_id == replica.replica_id:
                 continue
-            if now_s - self._seen_s[one.replica_id] > self._gone_s:
+            if (
+                now_s - self._last_seen_s[one.replica_id]
+                > self._replace_after_s
+            ):
                 return one.replica_id
         return None
 
 
 def test_removal_without_a_successor_is_caught():
     """The guard taken out: two silent hosts leave a group of three."""
-    cluster = whole(1)
+    cluster = repaired_cluster(1)
     for host in cluster.nodes:
-        cluster.turnovers[host] = Hasty(gone_s=seed_cluster.GONE_S)
+        cluster.reconcilers[host] = HastyReconciler(
+            replace_after_s=seed_cluster.REPLACE_AFTER_S
+        )
     leader = cluster.leader()
     others = [host for host in cluster.nodes if host != leader.host_id]
     for host in others[:2]:
