--- a/limpetroute/decisions/action.py
+++ b/limpetroute/decisions/action.py
@@ -1,11 +1,11 @@
-"""What the router tells the entry process to do."""
+"""Actions that the router returns to the entry process."""
 
 import dataclasses
 import enum
 
 
 class Reason(enum.StrEnum):
-    """Why a request is not run, or not run further."""
+    """Why a request is rejected or stopped."""
 
     NO_RUNNER = 'no_runner'
     UNKNOWN_MODEL = 'unknown_model'
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StartPrefill:
-    """Read the prompt on a prefill runner.
+    """Prefill the prompt on a prefill runner.
 
     Parameters
     ----------
@@ -30,12 +30,12 @@
     runner_id : str
         The prefill runner.
     decode_runner_id : str or None
-        Decode runner whose slot and KV memory are to be held from now
-        on, or None when they are taken later.
+        Decode runner on which a slot and KV memory are reserved from
+        now on, or None if they are reserved after the prefill.
     kv_bytes : int
-        KV memory to hold there.
+        KV memory to reserve on the decode runner.
     priority : int
-        Order in the runner's own queue; higher goes first.
+        Order in the runner's own queue; a higher priority goes first.
     """
 
     work_id: str
@@ -47,19 +47,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StartDecode:
-    """Move the KV cache to a decode runner and write the answer there.
+    """Transfer the KV cache to a decode runner and decode there.
 
     Parameters
     ----------
     work_id : str
         The request.
     runner_id : str
-        The decode runner; its room is asked for now unless
-        `StartPrefill` already held it there.
+        The decode runner. Its slot and memory are requested now unless
+        `StartPrefill` already reserved them.
     kv_bytes : int
-        KV memory to hold there.
+        KV memory to reserve on the decode runner.
     transfer_timeout_s : float or None
-        When to abandon the transfer, or None for the settings' limit.
+        Time after which the transfer is abandoned, or None for the
+        limit in the settings.
     """
 
     work_id: str
@@ -70,16 +71,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GiveUp:
-    """Answer the caller at once that the request is not run further.
+    """Reject the request: the caller gets an error at once.
 
     Parameters
     ----------
     work_id : str
         The request.
     reason : Reason
-        Why.
+        Reason for the rejection.
     retry_after_s : float
-        When coming back is expected to succeed.
+        Time after which a retry is expected to succeed.
     """
 
     work_id: str
--- a/limpetroute/decisions/admission.py
+++ b/limpetroute/decisions/admission.py
@@ -1,19 +1,23 @@
-"""Lets in what will meet its target and refuses the rest at once.
-
-Load pattern: saturation and bursts. Without it the queue grows until
-everything in it is served just too late: full work, no goodput. The
-prediction is the queue ahead over its measured drain rate, corrected
-by how wrong it was, plus reading, transfer and one step.
-
-The margin grows by `STEP_SHARE` of the target at each request that was
-let in and missed, and shrinks by so much less at each that made it
-that at rest `MISS_SHARE` of them miss. A fixed number of deviations
-was weighed (1.5): at 3x, 22-33% of those let in missed.
-
-A request whose target no idle runner could meet (a dossier
-that takes 1.5 s to read, with a target of 1 s) is not refused for it,
-as it would be refused for ever: its limit is `STRETCH` times the time
-that an idle fleet needs.
+"""Admission control: rejects requests that would miss their target.
+
+Load pattern: saturation and bursts. Without admission control the queue
+grows until every request in it is served just too late: the fleet is
+fully loaded and its goodput is zero. The predicted time to the first
+token is the cost of the queue ahead divided by its measured drain rate,
+corrected by the error of past predictions, plus the prefill, the
+transfer and one decode step.
+
+A margin is added to the prediction. It grows by `MARGIN_STEP_SHARE` of
+the target with each admitted request that misses its target and shrinks
+by a smaller step with each that meets it, so that in equilibrium
+`TARGET_MISS_SHARE` of the admitted requests miss. A fixed margin of 1.5
+standard deviations let 22-33% of the admitted requests miss at three
+times the capacity.
+
+A request whose target even an idle runner cannot meet (a prompt that
+takes 1.5 s to prefill, with a target of 1 s) is not rejected for that
+reason, because every retry would be rejected too. Its limit is
+`UNREACHABLE_TARGET_FACTOR` times the time that an idle fleet needs.
 """
 
 from limpetroute.decisions import smoothed
@@ -32,14 +36,20 @@
 def limit_s(
     *, arrived_s: float, first_token_by_s: float, idle_first_token_s: float
 ) -> float:
-    """Return until when a request may wait for its first token."""
+    """Return the time by which the first token must arrive.
+
+    Parameters
+    ----------
+    idle_first_token_s : float
+        Time to the first token on an idle fleet.
+    """
     if arrived_s + idle_first_token_s < first_token_by_s:
         return first_token_by_s
     return arrived_s + UNREACHABLE_TARGET_FACTOR * idle_first_token_s
 
 
 class Margin:
-    """What is added to a prediction, so that few of those let in miss."""
+    """Safety margin on a prediction, adapted to the share of misses."""
 
     __slots__ = ('_share',)
 
@@ -47,27 +57,31 @@
         self._share = 0.0
 
     def value_s(self, slack_s: float) -> float:
-        """Return the margin for a target that is ``slack_s`` away."""
+        """Return the margin for a target in ``slack_s`` seconds."""
         return MIN_SLACK_S + self._share * slack_s
 
     def record_refusal(self) -> None:
-        """Learn from a refusal: less than from one that made it.
+        """Shrink the margin a little after a rejection.
 
-        Without it a margin that has grown so that nothing is let in
+        Without this, a margin so large that every request is rejected
         would never shrink again.
         """
         step = REFUSAL_WEIGHT * MARGIN_STEP_SHARE * TARGET_MISS_SHARE
         self._share = max(0.0, self._share - step)
 
     def record_outcome(self, *, missed: bool) -> None:
-        """Learn from a request that was let in."""
+        """Adapt the margin to the outcome of an admitted request."""
         step = MARGIN_STEP_SHARE * TARGET_MISS_SHARE / (1 - TARGET_MISS_SHARE)
         change = MARGIN_STEP_SHARE if missed else -step
         self._share = min(MAX_MARGIN_SHARE, max(0.0, self._share + change))
 
 
 class WaitBias:
-    """Corrects predicted waits by those seen, and says how wrong."""
+    """Corrects predicted waits by the ratio of observed to predicted.
+
+    Holds one margin for requests that are predicted to wait in the
+    queue and one for requests that start at once.
+    """
 
     __slots__ = ('_bias', 'immediate', 'queued')
 
@@ -77,22 +91,22 @@
         self.queued = Margin()
 
     def margin(self, *, is_queued: bool) -> Margin:
-        """Return the margin of those that wait, or of the others."""
+        """Return the margin of queued requests or of immediate ones."""
         return self.queued if is_queued else self.immediate
 
     def corrected_wait_s(self, wait_s: float) -> float:
-        """Return a wait as experience corrects it."""
+        """Return a predicted wait, corrected by the observed ratio."""
         return wait_s * self._bias.value
 
     def record_wait(self, predicted_s: float, actual_s: float) -> None:
-        """Learn from a request taken from the queue."""
+        """Record the wait of a request that left the queue."""
         if predicted_s > MIN_SLACK_S:
             self._bias.add(min(MAX_BIAS, actual_s / predicted_s))
 
     def record_overdue(self, predicted_s: float, waited_s: float) -> None:
-        """Learn from a request given up after it was let in.
+        """Record the wait of an admitted request that was given up.
 
-        Without it only those that made it would be learned from, and
-        under saturation they say that all waits are short.
+        Without this, only requests that started would be counted, and
+        under saturation those are the ones with short waits.
         """
         self.record_wait(predicted_s, waited_s * OVERDUE_FACTOR)
--- a/limpetroute/decisions/decode_placement.py
+++ b/limpetroute/decisions/decode_placement.py
@@ -1,12 +1,13 @@
-"""Chooses where an answer is written.
+"""Chooses the decode runner of a request.
 
 Load pattern: decode runners that hold about twenty requests, with KV
-memory near full, in zones of unequal distance. Without it, answers go
-to a runner whose memory is full (the prefill is thrown away) or over a
-link that is busy (the result dies on the way). Of the few with the
-most free slots, the least sum of transfer time and of the batch's
-fullness in seconds wins; `FULLNESS_S` says that a full batch is as bad
-as 50 ms of transfer, about what a full batch adds to a short answer.
+memory near full, in zones of unequal distance. Without this decision, a
+request goes to a runner whose memory is full, so that its prefill is
+wasted, or over a busy link, where its prefill result expires on the
+way. Among the `CANDIDATES` runners with the most free slots, the lowest
+score wins: the predicted transfer time plus `FULLNESS_S` times the
+fullness of the runner. A full batch counts as much as 50 ms of
+transfer, which is about the time that it adds to a short answer.
 """
 
 from limpetroute.decisions import fleet as fleet_module
@@ -29,7 +30,19 @@
     failed_runners: set[tuple[str, int]],
     now_s: float,
 ) -> runner_state.RunnerState | None:
-    """Return the best runner with room, or None."""
+    """Return the best runner with free capacity, or None.
+
+    Parameters
+    ----------
+    transfers : TransferBudget or None
+        Predicts transfer times; None leaves them out of the score.
+    kv_bytes : int
+        KV memory that the request needs.
+    source_zone : str
+        Availability zone of the prefill runner.
+    failed_runners : set
+        Runners, by name and incarnation, that failed this request.
+    """
     best: runner_state.RunnerState | None = None
     best_s = 0.0
     role = runner_facts.Role.DECODE
--- a/limpetroute/decisions/ejection.py
+++ b/limpetroute/decisions/ejection.py
@@ -1,20 +1,21 @@
-"""Takes slow runners out by comparison with their peers.
-
-Load pattern: one runner five times slower than the rest, or one whose
-reports say it is idle. Without ejection a decode runner that misses
-the time between tokens keeps a share of all answers; its own reports
-cannot be believed, so only what was seen here counts. A runner is out
-when its figure is over `FACTOR` times the median of its peers: at 2.5
-a batch of twenty against an idle one (a factor of 2 in step time) does
-not count as slow. At most a quarter of a pool (one of two) is out, as
-a pool that is slow as a whole is overload, not a fault. A runner comes
-back after `OUT_S`, doubled each time up to `MAX_OUT_S`, and is judged
-anew by its next `MIN_SAMPLES`.
-
-A runner that fails `MAX_FAILURES` requests in a row without one that
-worked is out too, for `FAILED_OUT_S`, and here without a share: a dead
-runner is dead, and prompts read for it would be thrown away until its
-heartbeats are missed (3 s at least).
+"""Outlier ejection: takes slow and failing runners out of placement.
+
+Load pattern: one runner five times slower than the rest, or a slow
+runner that reports itself idle. Without ejection a decode runner that
+misses the target for the time between tokens keeps its share of all
+requests. Its own reports cannot be trusted, so only times measured on
+this host count. A runner is ejected when its estimate is over
+`SLOW_FACTOR` times the median of its peers. With 2.5, a runner with a
+batch of twenty does not count as slow against an idle one, whose steps
+take half the time. At most `MAX_EJECTED_SHARE` of a pool (one runner of
+two) is ejected, because a pool that is slow as a whole is overloaded,
+not faulty. A runner returns after `EJECTION_S`, doubled each time up to
+`MAX_EJECTION_S`, and is evaluated again after `MIN_SAMPLES` samples.
+
+A runner that fails `MAX_CONSECUTIVE_FAILURES` requests in a row is
+ejected too, for `FAILURE_EJECTION_S`, without a limit on the share of
+the pool: prefills for a dead decode runner would be wasted until its
+heartbeats are missed, which takes 3 s at least.
 """
 
 import statistics
@@ -35,19 +36,19 @@
 
 
 class Estimate(typing.Protocol):
-    """Something learned of a runner; less is better."""
+    """Estimate of a time that a runner takes; less is better."""
 
     @property
     def value(self) -> float:
-        """The figure."""
+        """Estimated time."""
 
     @property
     def count(self) -> int:
-        """Samples behind it."""
+        """Number of samples."""
 
 
 class Ejection:
-    """Runners that are out, and until when."""
+    """Ejected runners and the times at which they return."""
 
     __slots__ = (
         '_consecutive_failures',
@@ -62,18 +63,18 @@
 
     @property
     def ejected(self) -> frozenset[str]:
-        """Names of the runners that are out."""
+        """Names of the ejected runners."""
         return frozenset(self._ejected_until_s)
 
     @property
     def wake_s(self) -> float | None:
-        """When the first of them comes back."""
+        """Time at which the first ejected runner returns."""
         return min(self._ejected_until_s.values(), default=None)
 
     def record_failure(
         self, state: runner_state.RunnerState, now_s: float
     ) -> None:
-        """Count a failure at a runner."""
+        """Count a failed request; eject the runner after several."""
         count = self._consecutive_failures.get(state.runner_id, 0) + 1
         self._consecutive_failures[state.runner_id] = count
         if count < MAX_CONSECUTIVE_FAILURES or state.ejected:
@@ -82,7 +83,7 @@
         state.ejected = True
 
     def record_success(self, runner_id: str) -> None:
-        """Note that a runner did its part of a request."""
+        """Reset the failure count after a runner completed its stage."""
         self._consecutive_failures.pop(runner_id, None)
 
     def evaluate(
@@ -93,7 +94,13 @@
         estimates: typing.Mapping[str, Estimate],
         now_s: float,
     ) -> bool:
-        """Compare one runner with a few peers; return whether it is out."""
+        """Compare a runner with a few peers and eject it if it is slow.
+
+        Returns
+        -------
+        bool
+            Whether the runner was ejected.
+        """
         own = estimates.get(state.runner_id)
         if own is None or own.count < MIN_SAMPLES or state.ejected:
             return False
@@ -118,7 +125,7 @@
         return True
 
     def readmit(self, fleet: fleet_module.Fleet, now_s: float) -> list[str]:
-        """Let back in those whose time is over, and return them."""
+        """End the ejections that are over and return their runners."""
         back = [
             name
             for name, until in self._ejected_until_s.items()
@@ -132,7 +139,7 @@
         return back
 
     def remove_runner(self, runner_id: str) -> None:
-        """Drop a runner that is gone."""
+        """Drop the state of a runner that is gone or has restarted."""
         self._ejected_until_s.pop(runner_id, None)
         self._ejection_counts.pop(runner_id, None)
         self._consecutive_failures.pop(runner_id, None)
--- a/limpetroute/decisions/fair_queue.py
+++ b/limpetroute/decisions/fair_queue.py
@@ -1,21 +1,22 @@
-"""The queue of one model: fair between teams, two lanes, by deadline.
-
-Load pattern: one team that sends fifty times its share; dossiers of
-30,000 tokens among lookups of forty. Without fair shares the heavy
-team fills the queue and all others miss their targets; without a lane
-a lookup of 5 ms waits for a dossier of 1.5 s.
-
-Each team has its own queue by deadline. Between teams, the next turn
-goes to the least virtual time, which moves on by the cost of what was
-taken over the team's share (start-time fair queueing): a team that was
-idle starts at the present virtual time and cannot save up turns. Only
-teams with work queued, and the last `MAX_IDLE` whose turn lies ahead
-of the present virtual time, take memory; the rest of 13,000 are
-forgotten.
-
-Short work goes first, as it costs little, but while long work waits
-short work gets at most `SHORT_SHARE` of the cost served, so no dossier
-starves behind a stream of lookups.
+"""Queue of one model: fair between teams, two lanes, by deadline.
+
+Load pattern: one team that sends fifty times its share; prompts of
+30,000 tokens among prompts of forty. Without fair shares the heavy team
+fills the queue and all other teams miss their targets. Without separate
+lanes a prompt that takes 5 ms to prefill waits for one that takes 1.5 s.
+
+Each team has its own queue, ordered by deadline. Between teams, start-
+time fair queueing decides: the team with the least virtual time is
+served next, and its virtual time advances by the cost of the request
+divided by the team's share. A team that was idle starts at the current
+virtual time, so it cannot save up credit. Only teams with queued
+requests and at most `MAX_IDLE_TEAMS` idle teams whose virtual time is
+ahead of the current one are stored, so that 13,000 teams do not take
+memory.
+
+Short requests are served first, because they cost little. While long
+requests wait, short ones get at most `MAX_SHORT_SHARE` of the cost
+served, so that a stream of short requests does not starve a long one.
 """
 
 import collections
@@ -32,10 +33,27 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Queued:
-    """One request that waits.
+    """One queued request.
 
-    ``cost_s`` is the time of the bottleneck's fleet that it takes.
-    ``first`` marks what was promised or begun: it goes before all else.
+    Parameters
+    ----------
+    work_id : str
+        Name of the request.
+    team : str
+        Team whose share it counts against.
+    cost_s : float
+        Time that the request takes of the fleet's bottleneck.
+    due_s : float
+        Time at which its first token is due.
+    long : bool
+        Whether it goes to the lane of long requests.
+    has_priority : bool
+        Whether it is served before all others, because it was promised
+        to its caller or had already started.
+    removed : bool
+        Whether it was taken or removed; heaps drop it later.
+    arrived_s : float
+        Time at which it was queued.
     """
 
     work_id: str
@@ -85,7 +103,7 @@
 
 
 class _Lane:
-    """Teams in the order of their virtual time."""
+    """Queues of the teams, in the order of their virtual time."""
 
     __slots__ = (
         '_by_backlog',
@@ -139,10 +157,10 @@
             self.active_teams -= 1
 
     def newest_of_heaviest_team(self) -> Queued | None:
-        """Return the newest of the team with the most queued.
+        """Return the newest request of the team with the most queued.
 
-        Entries of the heap lag behind as work is taken; one that does
-        not hold any more is put back with its present weight.
+        The heap's weights become stale when requests are taken; a stale
+        entry is pushed again with the team's current weight.
         """
         while self._by_backlog:
             weight, _, name = self._by_backlog[0]
@@ -180,7 +198,7 @@
         return None
 
     def take(self) -> Queued:
-        """Take the head, which `head` has just shown."""
+        """Take the request that `head` has just returned."""
         start, _, name = heapq.heappop(self._heap)
         team = self.teams[name]
         _, _, item = heapq.heappop(team.by_deadline)
@@ -214,10 +232,11 @@
         self._limit_idle_teams()
 
     def _limit_idle_teams(self) -> None:
-        """Bound the idle teams that are remembered for their last turn.
+        """Bound the number of idle teams that are stored.
 
-        While no work waits the virtual time stands still, so a turn
-        never lies behind it, and all 13,000 teams would be kept.
+        While the queue is empty, the virtual time stands still and the
+        finish time of an idle team stays ahead of it, so `_prune` alone
+        would keep all 13,000 teams.
         """
         idle = [
             name for name, team in self.teams.items() if not team.by_deadline
@@ -230,16 +249,16 @@
 
 
 class FairQueue:
-    """Waiting work of one model.
+    """Queued requests of one model.
 
     Parameters
     ----------
     shares : mapping of str to float
         Weight of each team; 1 where none is given.
     fair : bool
-        Whether teams have queues of their own.
+        Whether each team has its own queue.
     lanes : bool
-        Whether short work has a lane of its own.
+        Whether long requests have their own lane.
     """
 
     __slots__ = (
@@ -279,7 +298,7 @@
 
     @property
     def teams(self) -> int:
-        """Teams that take memory."""
+        """Number of teams that are stored, summed over the lanes."""
         lanes = (self._priority, self._short, self._long)
         return sum(len(lane.teams) for lane in lanes)
 
@@ -304,7 +323,7 @@
             self.long_backlog_s += item.cost_s
 
     def discard(self, work_id: str) -> Queued | None:
-        """Take a request out of turn, or None."""
+        """Remove a request from any position; None if it is not queued."""
         item = self._items.pop(work_id, None)
         if item is None:
             return None
@@ -313,7 +332,7 @@
         return item
 
     def heads(self) -> list[Queued]:
-        """Return the next request of each lane, in order of their turn."""
+        """Return the next request of each lane, in serving order."""
         priority = self._priority.head()
         short = self._short.head()
         long = self._long.head()
@@ -326,7 +345,7 @@
         return found if priority is None else [priority, *found]
 
     def set_shares(self, shares: typing.Mapping[str, float]) -> None:
-        """Take new weights of the teams."""
+        """Replace the weights of the teams."""
         for lane in (self._priority, self._short, self._long):
             lane.set_shares(shares)
 
@@ -347,7 +366,11 @@
             self._short_credit_s = 0.0
 
     def is_over_share(self, team: str, *, long: bool) -> bool:
-        """Whether a team is several turns over its share."""
+        """Whether a team is well over its share.
+
+        True if its backlog and the lead of its virtual time exceed
+        `OVER_SHARE_FACTOR` times the mean cost of a queued request.
+        """
         lane = self._long if long and self._lanes else self._short
         known = lane.teams.get(team)
         if known is None or not self._items:
@@ -361,8 +384,8 @@
     def cost_ahead_s(self, team: str, *, long: bool) -> float:
         """Cost that would be served before a new request of a team.
 
-        With fair turns a team waits for its own backlog once for each
-        team that has work, and never for more than all there is.
+        With fair queueing a team waits for its own backlog times the
+        number of active teams, but never for more than the whole queue.
         """
         lane = self._long if long and self._lanes else self._short
         total = self.backlog_s
--- a/limpetroute/decisions/fleet.py
+++ b/limpetroute/decisions/fleet.py
@@ -1,9 +1,9 @@
-"""The runners by role and model, ordered so that none is searched for.
+"""Runners by role and model, sorted by load.
 
-Load pattern: thousands of runners. A decision that walks over all of
-them costs 1,800 steps for each request; here runners stand in one
-sorted list for each role and model, prefill by the least work sent,
-decode by the most free slots, and a change moves one of them.
+Load pattern: thousands of runners. A decision that scans all of them
+takes 1,800 steps for each request. Here each pair of role and model has
+a sorted list: prefill runners by the least outstanding work, decode
+runners by the most free slots. A change moves one entry.
 """
 
 import typing
@@ -19,7 +19,7 @@
 
 
 class Fleet:
-    """Keeps runners and hands out the few that are worth a look."""
+    """Stores the runners and returns the least loaded of a pool."""
 
     __slots__ = ('_by_id', '_by_load', '_sort_keys', 'runners')
 
@@ -33,7 +33,7 @@
         return len(self.runners)
 
     def add(self, facts: runner_facts.RunnerFacts) -> bool:
-        """Take an announcement; return whether anything changed."""
+        """Store an announcement; return whether anything changed."""
         old = self.runners.get(facts.runner_id)
         if old is not None and old.facts == facts:
             return False
@@ -49,14 +49,14 @@
         return True
 
     def remove(self, runner_id: str) -> runner_state.RunnerState | None:
-        """Forget a runner and return what was known of it."""
+        """Remove a runner and return its state."""
         state = self.runners.pop(runner_id, None)
         if state is not None:
             self._remove(state)
         return state
 
     def reorder(self, state: runner_state.RunnerState) -> None:
-        """Put a runner where its changed load belongs."""
+        """Update a runner's position after its load changed."""
         runner_id = state.facts.runner_id
         old = self._sort_keys.get(runner_id)
         new = _sort_key(state)
@@ -102,7 +102,7 @@
         ]
 
     def lowest_id(self, role: runner_facts.Role, model: str) -> str | None:
-        """Return the same runner on every host: the least name."""
+        """Return the least runner name, which is the same on all hosts."""
         names = self._by_id.get((role, model))
         return names[0] if names else None
 
@@ -113,7 +113,7 @@
     def apply_report(
         self, state: runner_state.RunnerState, report: load_report.LoadReport
     ) -> None:
-        """Put down to other hosts what the report has beyond our own."""
+        """Attribute load beyond this host's reservations to other hosts."""
         if state.facts.role is not runner_facts.Role.DECODE:
             return
         state.foreign_slots = max(0, report.running - len(state.reservations))
--- a/limpetroute/decisions/forecast.py
+++ b/limpetroute/decisions/forecast.py
@@ -1,4 +1,4 @@
-"""Predicts waits and costs of a request from all that was learned."""
+"""Predicts waits and costs of a request from the learned estimates."""
 
 from limpetroute.decisions import fleet as fleet_module
 from limpetroute.decisions import predictor as predictor_module
@@ -13,7 +13,7 @@
 
 
 class Forecast:
-    """Answers "how long would it take?" for the other decisions."""
+    """Predicts times, costs and free capacity for the other decisions."""
 
     __slots__ = ('_fleet', '_index', '_predictor', '_transfers')
 
@@ -36,7 +36,7 @@
         return prefill_s + self.after_prefill_s(item, item.prompt_tokens)
 
     def prefill_s(self, item: work.Work, tokens: int, now_s: float) -> float:
-        """Time to read a prompt where most of it is cached."""
+        """Time to prefill on a runner that has most of the prompt cached."""
         cached = 0.0
         for runner_id in self._index.holders(item.prefix_blocks)[:1]:
             cached = self._index.expected_tokens(
@@ -45,7 +45,7 @@
         return self._predictor.typical_prefill_s(max(1.0, tokens - cached))
 
     def after_prefill_s(self, item: work.Work, tokens: int) -> float:
-        """Time for the transfer and the first step."""
+        """Time for the transfer and the first decode step."""
         state = self.freest_decode_runner(item.model)
         if state is None:
             return self._predictor.token_gap_s('')
@@ -55,7 +55,7 @@
         return transfer_s + self._predictor.token_gap_s(state.runner_id)
 
     def foreign_wait_s(self, model: str) -> float:
-        """Wait that other hosts' work adds at a prefill runner."""
+        """Wait at a prefill runner caused by the work of other hosts."""
         role = runner_facts.Role.PREFILL
         state = self._fleet.least_loaded_runner(role, model)
         return (
@@ -63,7 +63,7 @@
         )
 
     def free_in_s(self, model: str, now_s: float) -> float:
-        """Time until some prefill runner may get more of our work."""
+        """Time until a prefill runner can take more of this host's work."""
         role = runner_facts.Role.PREFILL
         states = self._fleet.least_loaded(role, model, CAPACITY_CANDIDATES)
         return min((state.free_in_s(now_s) for state in states), default=0.0)
@@ -74,11 +74,15 @@
         tokens: int,
         choice: prefill_placement.PrefillChoice,
     ) -> float:
-        """Time to the first token if started there now."""
+        """Time to the first token if the chosen runner starts now."""
         return choice.prefill_done_in_s + self.after_prefill_s(item, tokens)
 
     def cost_s(self, item: work.Work, prefill_s: float) -> float:
-        """Time of the whole fleet's bottleneck that a request takes."""
+        """Time that a request takes of the whole fleet's bottleneck.
+
+        The bottleneck is the largest of prefill time, decode slots and
+        KV memory, each divided by the fleet's capacity.
+        """
         model = item.model
         prefills = self._fleet.count(runner_facts.Role.PREFILL, model)
         cost_s = prefill_s / max(1, prefills)
@@ -96,18 +100,18 @@
     def freest_decode_runner(
         self, model: str
     ) -> runner_state.RunnerState | None:
-        """Return the decode runner of a model with the most room."""
+        """Return the decode runner of a model with the most free slots."""
         return self._fleet.least_loaded_runner(runner_facts.Role.DECODE, model)
 
     def decode_capacity(
         self, model: str, kv_bytes: int, enough: int
     ) -> tuple[int, int, int]:
-        """Count requests that fit now, and slots and bytes that we hold.
+        """Return free places and the slots and bytes this host reserved.
 
-        Slots of other hosts come free too, but each host counts on its
-        own: counted on by all seven, one slot was promised seven times
-        and a tenth of the reading was thrown away. Counting stops where
-        ``enough`` fit.
+        Slots that other hosts use will come free too, but each host
+        counts only its own: when all seven hosts counted on the same
+        slot, it was promised seven times and a tenth of the prefill
+        work was wasted. Counting stops once ``enough`` requests fit.
         """
         free = 0
         busy = 0
@@ -126,5 +130,5 @@
 
 
 def kv_bytes_needed(item: work.Work, facts: runner_facts.RunnerFacts) -> int:
-    """KV memory of a request at its longest."""
+    """KV memory that a request needs with an answer of full length."""
     return (item.prompt_tokens + item.max_tokens) * facts.kv_bytes_per_token
--- a/limpetroute/decisions/job.py
+++ b/limpetroute/decisions/job.py
@@ -1,4 +1,4 @@
-"""What the policy knows of one request on its way."""
+"""State of one request inside the policy."""
 
 import enum
 
@@ -7,7 +7,12 @@
 
 
 class Phase(enum.Enum):
-    """Where the policy has a request."""
+    """Phase of a request inside the policy.
+
+    A stranded request is a started answer that every runner has failed;
+    it waits for a runner to restart. An awaiting request has its
+    prefill result and waits for a decode slot.
+    """
 
     QUEUED = 'queued'
     STRANDED = 'stranded'
@@ -19,14 +24,14 @@
 
 
 class Job:
-    """One request with all that is held for it.
+    """One request and everything that is reserved for it.
 
     Parameters
     ----------
     item : Work
         The request.
     limit_s : float
-        Until when its first token is waited for.
+        Time by which its first token must arrive.
     """
 
     __slots__ = (
@@ -83,5 +88,5 @@
 
     @property
     def prefill_tokens(self) -> int:
-        """Tokens to read: the prompt and what was delivered."""
+        """Tokens to prefill: the prompt and the delivered answer."""
         return self.item.prompt_tokens + self.delivered_tokens
--- a/limpetroute/decisions/least_load.py
+++ b/limpetroute/decisions/least_load.py
@@ -1,4 +1,4 @@
-"""Least reported load: a baseline that believes lagging reports."""
+"""Least reported load: a baseline that trusts lagging reports."""
 
 from limpetroute.decisions import load_report
 from limpetroute.decisions import round_robin
@@ -8,9 +8,9 @@
 class LeastLoad(round_robin.RoundRobin):
     """Sends each request to the runner that reported the least load.
 
-    Pattern of load: steady and light. As reports lag, all requests
-    between two reports go to the same runner; the bench shows the
-    herding.
+    Load pattern: steady and light. Because reports lag, all requests
+    between two reports go to the same runner (herding), which the bench
+    shows.
     """
 
     __slots__ = ('_reports',)
@@ -20,7 +20,7 @@
         self._reports: dict[str, load_report.LoadReport] = {}
 
     def on_report(self, report: load_report.LoadReport, now_s: float) -> None:
-        """Keep the newest report."""
+        """Store the newest report."""
         self._reports[report.runner_id] = report
 
     def _load(self, facts: runner_facts.RunnerFacts) -> int:
--- a/limpetroute/decisions/load_report.py
+++ b/limpetroute/decisions/load_report.py
@@ -1,4 +1,4 @@
-"""A runner's own report of its load, which lags."""
+"""Load report of a runner, which lags behind its actual load."""
 
 import dataclasses
 
@@ -14,17 +14,17 @@
     sequence : int
         Grows with each report of one incarnation.
     measured_s : float
-        When it was measured, on the router's clock.
+        Time of the measurement, on the router's clock.
     running : int
         Requests that hold a slot.
     waiting : int
-        Requests accepted that hold no slot yet.
+        Accepted requests that hold no slot yet.
     waiting_tokens : int
         Prompt tokens of the waiting requests.
     kv_used_bytes : int
         KV memory in use.
     step_s : float
-        Time of the last batch step.
+        Duration of the last batch step.
     """
 
     runner_id: str
--- a/limpetroute/decisions/model_state.py
+++ b/limpetroute/decisions/model_state.py
@@ -1,4 +1,4 @@
-"""What the policy keeps for one model."""
+"""State of the policy for one model."""
 
 import collections
 import typing
@@ -12,16 +12,16 @@
 
 
 class ModelState:
-    """Queue, drain rate and appointments of one model.
+    """Queue, drain rate and retry promises of one model.
 
     Parameters
     ----------
     shares : mapping of str to float
         Weights of the teams.
     fair : bool
-        Whether teams have queues of their own.
+        Whether each team has its own queue.
     lanes : bool
-        Whether short work has a lane of its own.
+        Whether long requests have their own lane.
     """
 
     __slots__ = (
@@ -52,21 +52,22 @@
         self.awaiting: collections.OrderedDict[str, job_module.Job] = (
             collections.OrderedDict()
         )
-        # Begun answers that every runner there is has failed. Kept out
-        # of the queue: at its head, one of them would stop all others.
+        # Started answers that every runner has failed. They are not
+        # queued: at the head of the queue they would block all others.
         self.stranded: dict[str, job_module.Job] = {}
         self.no_runners_since_s: float | None = None
 
     def bias(self, *, long: bool, over_share: bool) -> admission.WaitBias:
-        """Return what was learned of like requests.
+        """Return the prediction errors of requests of the same kind.
 
-        Dossiers err by seconds; were lookups judged by that, none
-        would be let in. In the same way a team that sends far over its
-        share misses often, and others must not pay with its margin.
+        Predictions for long prompts are wrong by seconds; with the same
+        margin, no short request would be admitted. In the same way, a
+        team far over its share often misses its targets, and its margin
+        must not apply to the other teams.
         """
         return self._biases[2 * long + over_share]
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is queued or held."""
+        """Whether no request is queued, awaiting or stranded."""
         return not (self.queue or self.awaiting or self.stranded)
--- a/limpetroute/decisions/policy_config.py
+++ b/limpetroute/decisions/policy_config.py
@@ -1,4 +1,4 @@
-"""What the manifest says to the policy."""
+"""Configuration of the policy, from the manifest."""
 
 import dataclasses
 import enum
@@ -6,14 +6,14 @@
 
 
 class Objective(enum.StrEnum):
-    """What is weighed more when the two pull apart."""
+    """Objective that takes precedence when the two conflict."""
 
     GOODPUT = 'goodput'
     WASTED_PREFILL = 'wasted_prefill'
 
 
 class Decision(enum.StrEnum):
-    """A decision that the bench can switch off to show what it buys."""
+    """A decision that the bench can switch off to measure its benefit."""
 
     ADMISSION = 'admission'
     RESERVATION = 'reservation'
@@ -30,18 +30,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PolicyConfig:
-    """Objective, shares and what is switched off.
+    """Objective, team shares and switched-off decisions.
 
     Parameters
     ----------
     objective : Objective
-        Whether goodput or little wasted prefill goes first.
+        Whether high goodput or little wasted prefill takes precedence.
     team_shares : mapping of str to float
-        Weight of each team; a team not named weighs 1.
+        Weight of each team; 1 for a team without an entry.
     result_ttl_s : float
-        How long a prefill result surely survives.
+        Guaranteed lifetime of a prefill result.
     without : frozenset of Decision
-        Decisions switched off, for the bench's ablations only.
+        Decisions that are switched off, for ablations in the bench.
     """
 
     objective: Objective = Objective.GOODPUT
--- a/limpetroute/decisions/predictor.py
+++ b/limpetroute/decisions/predictor.py
@@ -1,11 +1,12 @@
-"""Predicts how long each part of a request takes, and corrects itself.
-
-Load pattern: any; admission, placement and retries all ask "when would
-the first token come?". Without learned figures a router must be told
-each runner's speed, and a runner that slows down is found out only by
-missed targets. The weights: a fifth for what a runner does on every
-prompt (about ten samples follow a change within a second at today's
-load), a twentieth for lengths of answers, which vary by request.
+"""Learns how long each stage of a request takes.
+
+Load pattern: any; admission, placement and retries all need the time to
+the first token. Without learned estimates the speed of each runner has
+to be configured, and a runner that slows down shows only in missed
+targets. A sample has a weight of a fifth for times of a runner, so that
+about ten samples, a second's worth at today's load, follow a change. It
+has a weight of a twentieth for lengths of answers, which vary by
+request.
 """
 
 from limpetroute.decisions import smoothed
@@ -24,7 +25,7 @@
 
 
 class Predictor:
-    """Learns runners' speeds and the length of answers."""
+    """Estimates the speed of runners and the length of answers."""
 
     __slots__ = (
         '_answers',
@@ -48,23 +49,23 @@
         self.error = smoothed.Smoothed(prior=0.0, weight=ERROR_WEIGHT)
 
     def remove_runner(self, runner_id: str) -> None:
-        """Drop what was learned of a runner that is gone."""
+        """Drop the estimates of a runner that is gone or restarted."""
         self._prefill.pop(runner_id, None)
         self._gaps.pop(runner_id, None)
         self._foreign_waits.pop(runner_id, None)
 
     def prefill_s(self, runner_id: str, tokens: float) -> float:
-        """Time that a runner reads ``tokens`` uncached tokens."""
+        """Time that a runner takes to prefill uncached tokens."""
         estimate = self._prefill.get(runner_id, self._fleet_prefill)
         return PRIOR_OVERHEAD_S + tokens * estimate.value
 
     def typical_prefill_s(self, tokens: float) -> float:
-        """Time that some runner reads ``tokens``."""
+        """Time that a typical runner takes to prefill ``tokens``."""
         return PRIOR_OVERHEAD_S + tokens * self._fleet_prefill.value
 
     @property
     def prefill_s_per_token(self) -> dict[str, window_minimum.WindowMinimum]:
-        """Seconds for each token read, by runner."""
+        """Seconds per prefilled token, by runner."""
         return self._prefill
 
     @property
@@ -73,24 +74,24 @@
         return self._gaps
 
     def foreign_wait_s(self, runner_id: str) -> float:
-        """Time that work of other hosts makes ours wait there."""
+        """Wait at a runner caused by the work of other hosts."""
         estimate = self._foreign_waits.get(runner_id)
         return estimate.value if estimate else 0.0
 
     def foreign_wait_deviation_s(self, runner_id: str) -> float:
-        """Deviation of that wait."""
+        """Mean deviation of the wait caused by other hosts."""
         estimate = self._foreign_waits.get(runner_id)
         return estimate.deviation if estimate else 0.0
 
     def record_prefill(
         self, runner_id: str, tokens: int, took_s: float
     ) -> None:
-        """Learn from a prompt read.
+        """Record the time of a prefill.
 
-        The time is explained by the reading and the work of other
-        hosts. Reading is the least of the last times
-        for each token, as a queue only ever adds; the rest is put down
-        to the others.
+        The time consists of the prefill itself and a wait for the work
+        of other hosts. The prefill is estimated by the minimum of the
+        last times per token, because waiting only adds time; the rest
+        counts as the wait for other hosts.
         """
         if tokens >= MIN_SAMPLE_TOKENS:
             estimate = self._prefill.setdefault(
@@ -107,7 +108,7 @@
         wait.add(max(0.0, took_s - self.prefill_s(runner_id, tokens)))
 
     def decay_wait(self, runner_id: str) -> None:
-        """Believe less in the others' work where nothing was sent."""
+        """Reduce the estimated wait at a runner without recent samples."""
         estimate = self._foreign_waits.get(runner_id)
         if estimate is not None:
             estimate.value *= 0.9
@@ -117,7 +118,7 @@
         return self._gaps.get(runner_id, self._fleet_gap).value
 
     def record_gap(self, runner_id: str, gap_s: float) -> None:
-        """Learn from tokens that came."""
+        """Record the time between tokens."""
         self._gaps.setdefault(runner_id, _new_gap(gap_s)).add(gap_s)
         self._fleet_gap.add(gap_s)
 
@@ -128,7 +129,7 @@
         return max(1.0, share * max_tokens)
 
     def record_answer(self, model: str, max_tokens: int, tokens: int) -> None:
-        """Learn from a whole answer."""
+        """Record the length of a completed answer."""
         estimate = self._answers.setdefault(
             model,
             smoothed.Smoothed(prior=PRIOR_ANSWER_SHARE, weight=ANSWER_WEIGHT),
--- a/limpetroute/decisions/prefill_placement.py
+++ b/limpetroute/decisions/prefill_placement.py
@@ -1,16 +1,17 @@
-"""Chooses where a prompt is read: cached prefix against queue.
+"""Chooses the prefill runner: cached prefix against queue length.
 
 Load pattern: shared prefixes, some of them hot, and runners of unequal
-speed. Without the cache term each runner reads every wording anew;
-without the queue term the runner that holds a hot prefix melts. Both
-are seconds, so they are simply added: a runner that is busy longer
-than its cache saves loses, the prompt goes elsewhere and is cached
-there too, and a hot prefix spreads by itself.
+speed. Without the cache term every runner prefills every shared prefix
+again; without the queue term the runner that holds a hot prefix is
+overloaded. Both terms are in seconds and are added. If a runner's queue
+takes longer than its cache saves, the prompt goes to another runner and
+is cached there too, so a hot prefix spreads over several runners.
 
-A prompt is sent while the runner has at most `PIPELINE_S` of our work:
-what waits in the router can still be reordered, refused or placed
-better; what waits at a runner cannot. 20 ms hides the way there and
-back. `QUEUE_S` is the work behind which a cached runner may be queued.
+A prompt is sent only while the runner has at most `MAX_SENT_S` of this
+host's work outstanding, because a prompt that waits in the router can
+still be reordered, rejected or placed better, and a prompt that waits
+at a runner cannot. 20 ms of work cover the network round trip. A runner
+that holds the prefix may have up to `MAX_SENT_CACHED_S` outstanding.
 """
 
 import dataclasses
@@ -29,7 +30,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PrefillChoice:
-    """A runner and when it would be done."""
+    """A prefill runner and the predicted times of the prefill there.
+
+    Parameters
+    ----------
+    state : RunnerState
+        The runner.
+    expected_cached : float
+        Prompt tokens that are expected to be cached there.
+    prefill_s : float
+        Time of the prefill itself.
+    prefill_done_in_s : float
+        Time until the prefill ends, with the wait before it.
+    """
 
     state: runner_state.RunnerState
     expected_cached: float
@@ -48,16 +61,18 @@
     excluded_id: str | None,
     now_s: float,
 ) -> PrefillChoice | None:
-    """Return the runner that is done first, or None while all are full.
+    """Return the runner that finishes first, or None if all are full.
 
     Parameters
     ----------
+    index : PrefixIndex or None
+        Locates cached prefixes; None ignores caches.
     tokens : int
-        Tokens to read, with those of an answer that is continued.
-    tried : set
+        Tokens to prefill, including those of a resumed answer.
+    failed_runners : set
         Runners, by name and incarnation, that failed this request.
-    barred : str or None
-        Runner kept open for short work.
+    excluded_id : str or None
+        Runner that is reserved for short requests.
     """
     best: PrefillChoice | None = None
     role = runner_facts.Role.PREFILL
--- a/limpetroute/decisions/prefix.py
+++ b/limpetroute/decisions/prefix.py
@@ -1,4 +1,4 @@
-"""Names the leading blocks of a prompt, as caches hold them."""
+"""Hashes the leading blocks of a prompt, as prefix caches do."""
 
 import xxhash
 
@@ -8,9 +8,9 @@
 
 
 def prefix_blocks(prompt: bytes) -> tuple[int, ...]:
-    """Hash each whole leading block together with all before it.
+    """Hash each complete leading block together with all before it.
 
-    Two prompts share a cached prefix exactly as far as these agree.
+    Two prompts share a cached prefix as far as their hashes are equal.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     Returns
     -------
     tuple of int
-        One 64-bit hash a block, at most ``MAX_BLOCKS``.
+        One 64-bit hash per block, at most ``MAX_BLOCKS``.
     """
     blocks = []
     state = xxhash.xxh3_64()
--- a/limpetroute/decisions/prefix_index.py
+++ b/limpetroute/decisions/prefix_index.py
@@ -1,11 +1,12 @@
-"""Where a prompt's prefix is probably cached.
-
-Load pattern: a few prefixes that most prompts share. Without it, each
-runner reads the same wording again. Cache events come late and with
-gaps, so an entry is worth less the older it is (half after
-`HALF_LIFE_S`), and the figure is corrected by what prefills then found
-cached. What we sent to a runner counts as cached there at once: the
-event would come a second later.
+"""Index of the runners that probably have a prompt's prefix cached.
+
+Load pattern: a few prefixes that most prompts share. Without the index
+each runner prefills the same prefixes again. Cache events arrive late
+and some are lost, so the weight of an entry halves every `HALF_LIFE_S`,
+and the expected number of cached tokens is corrected by what prefills
+actually found cached. A prompt that this host prefilled on a runner
+counts as cached there at once; its cache event arrives about a second
+later.
 """
 
 import collections
@@ -22,7 +23,7 @@
 
 
 class PrefixIndex:
-    """Expected cached tokens by runner."""
+    """Expected number of cached prompt tokens on each runner."""
 
     __slots__ = ('_by_block', '_by_runner', 'accuracy')
 
@@ -34,7 +35,7 @@
     def add(
         self, runner_id: str, blocks: typing.Iterable[int], now_s: float
     ) -> None:
-        """Note blocks held by a runner."""
+        """Add blocks that a runner has cached."""
         held = self._by_runner.setdefault(runner_id, collections.OrderedDict())
         for block in blocks:
             held[block] = None
@@ -45,7 +46,7 @@
             self._drop(runner_id, block)
 
     def remove(self, runner_id: str, blocks: typing.Iterable[int]) -> None:
-        """Note blocks no longer held."""
+        """Remove blocks that a runner has evicted."""
         held = self._by_runner.get(runner_id)
         if held is None:
             return
@@ -55,12 +56,12 @@
                 self._drop(runner_id, block)
 
     def remove_runner(self, runner_id: str) -> None:
-        """Drop all of a runner that is gone."""
+        """Remove all blocks of a runner that is gone or restarted."""
         for block in self._by_runner.pop(runner_id, ()):
             self._drop(runner_id, block)
 
     def holders(self, blocks: typing.Sequence[int]) -> list[str]:
-        """Return a few runners that hold the longest known prefix."""
+        """Return a few runners that have the longest cached prefix."""
         depth = self._depth(blocks, None)
         if depth == 0:
             return []
@@ -75,7 +76,11 @@
     def expected_tokens(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> float:
-        """Return how many leading tokens a runner has, on average."""
+        """Return the expected number of leading tokens a runner has cached.
+
+        The number is scaled by the age of the entry and by the accuracy
+        of earlier expectations.
+        """
         depth = self._depth(blocks, runner_id)
         if depth == 0:
             return 0.0
@@ -86,15 +91,16 @@
     def record_accuracy(
         self, expected_tokens: float, cached_tokens: int
     ) -> None:
-        """Learn from what a prefill found cached."""
+        """Update the accuracy from the tokens a prefill found cached."""
         if expected_tokens >= BLOCK_TOKENS:
             self.accuracy.add(min(1.0, cached_tokens / expected_tokens))
 
     def _depth(
         self, blocks: typing.Sequence[int], runner_id: str | None
     ) -> int:
-        # Each hash covers all blocks before it, so holding is monotone
-        # but for gaps in the events, and halving finds its end.
+        # Each hash covers all blocks before it, so a cached block implies
+        # that the blocks before it are cached (except for lost events),
+        # and a binary search finds the end of the prefix.
         if not blocks:
             return 0
         low = 0
--- a/limpetroute/decisions/reservation.py
+++ b/limpetroute/decisions/reservation.py
@@ -1,20 +1,20 @@
-"""Starts a prefill only when a decode slot will be there at its end.
+"""Starts a prefill only if a decode slot will be free at its end.
 
 Load pattern: decode slots and KV memory are the bottleneck, and a
-prefill result lives under a second. Without it prefill runs ahead of
-decode and its results die: prompt reading thrown away, and the same
-prompt read again.
+prefill result expires in under a second. Without this decision prefill
+runs ahead of decode, results expire, and the same prompts have to be
+prefilled again.
 
-Three ways were weighed. At start: room is held from the first moment;
-nothing is wasted, but a slot stands empty for the reading and the
-transfer. At the predicted end: a prefill starts also when a slot is
-expected to come free by its end. Late: no reservation. The objective
-chooses: `wasted_prefill` holds at start, `goodput` counts on
-`CONFIDENCE` of the slots expected free by the end of the prefill. A
-request that needs over `MAX_SIZE` times the mean KV memory of those
-that run holds at start in any case: what comes free next is not enough
-for it, and on the shape of the goal at 1.2x 13% of the reading was
-thrown away (one seed; 0.2% with it, 0.0% at 1 but with less goodput).
+With the objective `wasted_prefill` a decode slot is reserved before the
+prefill starts: nothing is wasted, but the slot is idle during the
+prefill and the transfer. With `goodput` a prefill also starts when a
+slot is expected to come free by its end; `EXPECTED_SLOT_SHARE` of the
+expected slots is counted on. A request that needs over
+`MAX_RELATIVE_SIZE` times the mean KV memory of the running requests
+always needs a reservation first, because the slot that comes free next
+does not have enough memory for it. In the bench at 1.2 times the
+capacity (one seed), 13% of the prefill work was wasted without this
+limit, 0.2% with a limit of 2, and 0.0% with 1 at a lower goodput.
 """
 
 EXPECTED_SLOT_SHARE = 1.0
--- a/limpetroute/decisions/retry_budget.py
+++ b/limpetroute/decisions/retry_budget.py
@@ -1,11 +1,10 @@
-"""Limits retries to a share of fresh traffic.
-
-Load pattern: a runner dies or a pool fails, and every request on it
-wants to run again at once. Without a budget the retries of a failing
-pool multiply its load by the number of attempts, and it stays down.
-A tenth of fresh traffic covers one runner in ten failing at any time;
-`RESERVE` lets the twenty requests of one dead decode runner go at once
-at today's size.
+"""Limits retries to a share of new requests.
+
+Load pattern: a runner or a pool fails, and all its requests are retried
+at once. Without a budget the retries multiply the load of a failing
+pool by the number of attempts, and it does not recover. `RETRY_SHARE`
+covers a failure of one runner in ten at any time; `MAX_TOKENS` lets the
+twenty requests of a failed decode runner be retried at once.
 """
 
 RETRY_SHARE = 0.1
@@ -14,7 +13,7 @@
 
 
 class RetryBudget:
-    """Tokens that fresh requests earn and retries spend."""
+    """Token bucket that new requests fill and retries drain."""
 
     __slots__ = ('_tokens',)
 
@@ -27,11 +26,11 @@
         return self._tokens
 
     def earn(self) -> None:
-        """Count one fresh request."""
+        """Add the share of one new request."""
         self._tokens = min(MAX_TOKENS, self._tokens + RETRY_SHARE)
 
     def spend(self, attempts: int) -> bool:
-        """Take a retry, or refuse it."""
+        """Take a token for a retry; return whether it is allowed."""
         if attempts >= MAX_ATTEMPTS or self._tokens < 1:
             return False
         self._tokens -= 1
--- a/limpetroute/decisions/retry_promises.py
+++ b/limpetroute/decisions/retry_promises.py
@@ -1,18 +1,20 @@
-"""Tells refused callers when to come back, and lets them in then.
-
-Load pattern: saturation, where refused callers return. With a fixed
-`Retry-After` they all return to the same saturated second, are refused
-again, and the answer was a lie. Here each refusal is an appointment:
-the next moment at which the team's share of the fleet is not yet
-promised. Fresh work leaves room for appointments that fall due, in the
-measure in which callers really kept them.
-
-A caller is known by its key. Behind a balancer it may return to
-another host; there it says itself that it returns, and takes a due
-appointment of its team or, if the team is not over its share, of any:
-hosts are alike, and what one host promised returns spread over all. A
-host never lets in more than it promised. `FILL` promises a part of the
-fleet only, as lengths vary and fresh work of light teams comes too.
+"""Promises rejected callers a time at which a retry is admitted.
+
+Load pattern: saturation, where rejected callers retry. With a fixed
+`Retry-After` all of them retry in the same saturated second and are
+rejected again. Here each rejection carries a promise: the next time at
+which the team's share of the fleet is not yet promised. New requests
+leave capacity for the promises that are due, scaled by the share of
+promises that callers actually redeem.
+
+A caller is identified by its key. Behind a load balancer its retry may
+arrive at another host. There the caller declares the retry, and the
+host redeems a due promise of the same team or, if the team is not over
+its share, of any team: all hosts make similar promises, and the retries
+to the promises of one host spread evenly over all hosts. A host never
+admits more retries than it promised. Only `PROMISED_SHARE` of the fleet
+is promised, because lengths of answers vary and new requests of teams
+below their share arrive too.
 """
 
 import collections
@@ -40,7 +42,7 @@
 
 
 class RetryPromises:
-    """Appointments of one model."""
+    """Promises for the rejected callers of one model."""
 
     __slots__ = (
         '_by_key',
@@ -72,7 +74,7 @@
 
     @property
     def expected_cost_s(self) -> float:
-        """Cost of the appointments due now that will be kept."""
+        """Cost of the due promises that are expected to be redeemed."""
         return self.due_cost_s * self._return_rate.value
 
     def promise(
@@ -85,14 +87,14 @@
         min_wait_s: float,
         now_s: float,
     ) -> float:
-        """Make an appointment and return in how many seconds it is.
+        """Make a promise and return the seconds until it is due.
 
         Parameters
         ----------
-        rate : float
-            Cost a second that the queue takes.
-        least_s : float
-            No earlier than this from now.
+        drain_rate : float
+            Cost per second that leaves the queue.
+        min_wait_s : float
+            Least time until the promise is due.
         """
         self.advance(now_s)
         teams = max(1, len(self._next_due_s) + (team not in self._next_due_s))
@@ -119,14 +121,19 @@
         over_share: bool,
         now_s: float,
     ) -> bool:
-        """Use the appointment that this request comes for, if any.
+        """Use up a due promise for this request, if there is one.
 
         Parameters
         ----------
         returning : bool
-            Whether the caller says that it returns.
-        behind : bool
-            Whether its team is over its share.
+            Whether the caller declares that this is a promised retry.
+        over_share : bool
+            Whether the team is over its share.
+
+        Returns
+        -------
+        bool
+            Whether a promise was redeemed.
         """
         self.advance(now_s)
         own = self._by_key.get((team, key)) if key else None
@@ -149,7 +156,7 @@
         self._return_rate.add(1.0)
 
     def advance(self, now_s: float) -> None:
-        """Let appointments fall due and lapse."""
+        """Move promises that are now due to the due ones; expire old."""
         while (
             self._upcoming
             and self._upcoming[0].due_s - EARLY_TOLERANCE_S <= now_s
--- a/limpetroute/decisions/round_robin.py
+++ b/limpetroute/decisions/round_robin.py
@@ -1,4 +1,4 @@
-"""Round robin: the simplest router, kept as a baseline."""
+"""Round robin: the simplest router, used as a baseline."""
 
 import collections
 import typing
@@ -27,10 +27,11 @@
 
 
 class RoundRobin:
-    """Sends each request to the next runner in turn.
+    """Sends each request to the next runner in order.
 
-    Pattern of load: none. It is the baseline that shows what the other
-    decisions buy; a request waits only for a free decode slot.
+    Load pattern: none. It is the baseline against which the benefit of
+    the other decisions is measured; a request waits only for a free
+    decode slot.
     """
 
     __slots__ = (
@@ -58,11 +59,11 @@
         """Ignore objective and shares."""
 
     def on_runner(self, facts: runner_facts.RunnerFacts, now_s: float) -> None:
-        """Take a runner's announcement, new or changed."""
+        """Store a new or changed announcement of a runner."""
         self._runners[facts.runner_id] = facts
 
     def on_runner_gone(self, runner_id: str, now_s: float) -> None:
-        """Forget a runner whose heartbeats ended."""
+        """Remove a runner whose heartbeats stopped."""
         self._runners.pop(runner_id, None)
 
     def on_report(self, report: load_report.LoadReport, now_s: float) -> None:
@@ -86,7 +87,7 @@
     def on_prefill_done(
         self, work_id: str, cached_tokens: int, now_s: float
     ) -> None:
-        """Start the decode where its slot is held."""
+        """Start the decode where its slot is reserved."""
         entry = self._entries.get(work_id)
         if entry is None or entry.decode_id is None:
             return
@@ -109,8 +110,8 @@
     ) -> None:
         """Queue the request again at the front.
 
-        The runner is left out for a moment: asked again at once it
-        would refuse again, and host and lease holder would spin.
+        The runner is skipped for `DENIED_PAUSE_S`. Requested again at
+        once, the lease holder would deny again, in a busy loop.
         """
         entry = self._entries.get(work_id)
         if entry is None:
@@ -139,13 +140,13 @@
         self._give_up(work_id, action.Reason.RETRIES)
 
     def on_end(self, work_id: str, how: stage.Ending, now_s: float) -> None:
-        """Forget the request and free its slot."""
+        """Remove the request and free its slot."""
         entry = self._entries.pop(work_id, None)
         if entry is not None:
             self._release(entry)
 
     def actions(self, now_s: float) -> list[action.Action]:
-        """Return what is to be done now, in order."""
+        """Return the actions to carry out now, in order."""
         for runner_id, until_s in list(self._denied_until_s.items()):
             if until_s <= now_s:
                 del self._denied_until_s[runner_id]
@@ -164,7 +165,7 @@
         return out
 
     def wake_s(self) -> float | None:
-        """Return the first deadline among those that wait."""
+        """Return the first deadline of the queued requests."""
         deadlines = [
             self._entries[work_id].item.first_token_by_s
             for work_id in self._queue
--- a/limpetroute/decisions/router.py
+++ b/limpetroute/decisions/router.py
@@ -1,4 +1,4 @@
-"""The interface between the decisions and what carries them out."""
+"""Interface between the decisions and the code that executes them."""
 
 import typing
 
@@ -11,43 +11,43 @@
 
 
 class Router(typing.Protocol):
-    """Decides what runs where and when.
+    """Decides which request runs when and on which runners.
 
-    The entry process and the bench both tell it what happened and then
-    carry out `actions`. It knows no clock: each call brings ``now_s``.
+    The entry process and the bench report events to it and then execute
+    `actions`. It reads no clock: each call passes the time ``now_s``.
     """
 
     def configure(
         self, config: policy_config.PolicyConfig, now_s: float
     ) -> None:
-        """Take the objective and shares of a new manifest."""
+        """Apply the objective and shares of a new manifest."""
 
     def on_runner(self, facts: runner_facts.RunnerFacts, now_s: float) -> None:
-        """Take a runner's announcement, new or changed."""
+        """Store a new or changed announcement of a runner."""
 
     def on_runner_gone(self, runner_id: str, now_s: float) -> None:
-        """Forget a runner whose heartbeats ended."""
+        """Remove a runner whose heartbeats stopped."""
 
     def on_report(self, report: load_report.LoadReport, now_s: float) -> None:
-        """Take a load report."""
+        """Apply a load report."""
 
     def on_cached(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
-        """Take a cache event: these prefix blocks are held there."""
+        """Apply a cache event: the runner has cached these blocks."""
 
     def on_evicted(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
-        """Take a cache event: these prefix blocks are no longer held."""
+        """Apply a cache event: the runner has evicted these blocks."""
 
     def offer(self, item: work.Work, now_s: float) -> None:
-        """Take a new request; `actions` says what becomes of it."""
+        """Submit a new request; `actions` returns its outcome."""
 
     def on_prefill_done(
         self, work_id: str, cached_tokens: int, now_s: float
     ) -> None:
-        """Note that the prompt was read."""
+        """Note that the prefill is done."""
 
     def on_transfer_done(self, work_id: str, now_s: float) -> None:
         """Note that the KV cache arrived at the decode runner."""
@@ -58,9 +58,14 @@
     def on_denied(
         self, work_id: str, runner_id: str, free_slots: int, now_s: float
     ) -> None:
-        """Note that the runner's lease holder granted no room.
+        """Note that the runner's lease holder denied a grant.
 
         The request is queued again; nothing was sent to the runner.
+
+        Parameters
+        ----------
+        free_slots : int
+            Free slots of the runner, as the lease holder counts them.
         """
 
     def on_failed(
@@ -73,14 +78,19 @@
     ) -> None:
         """Note that a runner failed the request.
 
-        `actions` then starts it again elsewhere or gives it up.
+        `actions` then retries it on another runner or gives it up.
+
+        Parameters
+        ----------
+        may_repeat : bool
+            Whether the request may be run again.
         """
 
     def on_end(self, work_id: str, how: stage.Ending, now_s: float) -> None:
-        """Note that the request is over and holds nothing."""
+        """Note that the request has ended; free all it has reserved."""
 
     def actions(self, now_s: float) -> list[action.Action]:
-        """Return what is to be done now, in order."""
+        """Return the actions to execute now, in order."""
 
     def wake_s(self) -> float | None:
-        """Return when `actions` has something new without an event."""
+        """Return the time to call `actions` if no event occurs before."""
--- a/limpetroute/decisions/routers.py
+++ b/limpetroute/decisions/routers.py
@@ -1,4 +1,4 @@
-"""Makes routers by the names that traces and experiments use."""
+"""Creates routers by the names used in traces and experiments."""
 
 import random
 
@@ -20,16 +20,16 @@
     objective: policy_config.Objective = policy_config.Objective.GOODPUT,
     seed: int = 0,
 ) -> router.Router:
-    """Make a router.
+    """Create a router.
 
     Parameters
     ----------
     name : str
-        A baseline, ``full``, or ``without_`` and a decision.
+        A baseline, ``full``, or ``without_`` followed by a decision.
     objective : Objective
-        What the full policy weighs more.
+        Objective of the full policy.
     seed : int
-        Seed of what is random in it.
+        Seed of the random choices of ``two_choices``.
 
     Raises
     ------
@@ -54,6 +54,6 @@
 
 
 def names() -> list[str]:
-    """Return all names."""
+    """Return the names of all routers."""
     ablated = [f'{WITHOUT}{decision}' for decision in policy_config.Decision]
     return [*BASELINES, FULL, *ablated]
--- a/limpetroute/decisions/runner_facts.py
+++ b/limpetroute/decisions/runner_facts.py
@@ -1,11 +1,11 @@
-"""What a runner says of itself when it announces."""
+"""Capabilities that a runner announces."""
 
 import dataclasses
 import enum
 
 
 class Role(enum.StrEnum):
-    """What a runner does."""
+    """Stage that a runner serves."""
 
     PREFILL = 'prefill'
     DECODE = 'decode'
@@ -23,21 +23,21 @@
     incarnation : int
         Grows each time the runner starts.
     role : Role
-        What it does now.
+        Stage that it serves now.
     zone : str
         Its availability zone.
     models : frozenset of str
-        Models it has loaded, as ``name`` or ``name:adapter``.
+        Loaded models, as ``name`` or ``name:adapter``.
     slots : int
-        Requests it holds at a time.
+        Requests that it runs at a time.
     kv_capacity_bytes : int
-        KV memory it has in all.
+        Total KV memory.
     kv_bytes_per_token : int
         KV memory of one token.
     leaving : bool
-        Whether it asked for no more work.
+        Whether it is shutting down and takes no new work.
     refuses_old_fence : bool
-        Whether it refuses an order with an old fencing number.
+        Whether it rejects calls with an outdated fencing number.
     """
 
     runner_id: str
--- a/limpetroute/decisions/runner_state.py
+++ b/limpetroute/decisions/runner_state.py
@@ -1,13 +1,14 @@
-"""What this router counts for one runner."""
+"""State of one runner, as this router counts it."""
 
 from limpetroute.decisions import runner_facts
 
 
 class RunnerState:
-    """Room, work and health of one runner, by this router's count.
+    """Capacity, load and health of one runner, as this router counts it.
 
-    Nothing is granted twice: a slot and its bytes are held under the
-    name of their work, and `hold` refuses a second holding.
+    A slot and its bytes are reserved under the name of a request, and
+    `reserve` rejects a second reservation for the same request. The
+    ``foreign_`` counts are slots and bytes used by other hosts.
 
     Parameters
     ----------
@@ -50,22 +51,22 @@
 
     @property
     def free_slots(self) -> int:
-        """Slots that nobody is known to hold."""
+        """Slots that no host is known to use."""
         return self.facts.slots - len(self.reservations) - self.foreign_slots
 
     @property
     def free_bytes(self) -> int:
-        """KV memory that nobody is known to hold."""
+        """KV memory that no host is known to use."""
         used = self.reserved_bytes + self.foreign_bytes
         return self.facts.kv_capacity_bytes - used
 
     @property
     def usable(self) -> bool:
-        """Whether it may get new work."""
+        """Whether new requests may be sent to it."""
         return not self.facts.leaving and not self.ejected
 
     def free_in_s(self, now_s: float) -> float:
-        """Time until it may get more of our work, as predicted."""
+        """Predicted time until it can take more of this host's work."""
         until_s = self.paused_until_s
         if self.outstanding_prefills:
             until_s = max(until_s, self.prefills_done_s)
@@ -74,21 +75,21 @@
     def start_prefill(
         self, work_id: str, seconds: float, done_at_s: float
     ) -> None:
-        """Count a prompt sent there.
+        """Count a prefill that was sent to the runner.
 
         Parameters
         ----------
         seconds : float
-            Time of the runner that it takes.
+            Predicted duration of the prefill.
         done_at_s : float
-            When it is expected to be done.
+            Predicted time of its end.
         """
         self.prefills_done_s = done_at_s
         self.outstanding_prefills[work_id] = seconds
         self.outstanding_prefill_s += seconds
 
     def end_prefill(self, work_id: str) -> None:
-        """Uncount a prompt; idempotent."""
+        """Remove a prefill from the count; idempotent."""
         seconds = self.outstanding_prefills.pop(work_id, None)
         if seconds is None:
             return
@@ -97,24 +98,26 @@
             self.outstanding_prefill_s = 0.0
 
     def fits(self, kv_bytes: int) -> bool:
-        """Whether one more request has room."""
+        """Whether a slot and this much KV memory are free."""
         return self.free_slots >= 1 and self.free_bytes >= kv_bytes
 
     def reserve(self, work_id: str, kv_bytes: int) -> None:
-        """Hold a slot and memory.
+        """Reserve a slot and memory.
 
         Raises
         ------
         ValueError
-            If the work holds room here already.
+            If the request already has a reservation here.
         """
         if work_id in self.reservations:
-            raise ValueError(f'{work_id!r} holds room at {self.runner_id!r}')
+            raise ValueError(
+                f'{work_id!r} already has a reservation on {self.runner_id!r}'
+            )
         self.reservations[work_id] = kv_bytes
         self.reserved_bytes += kv_bytes
 
     def release(self, work_id: str) -> None:
-        """Give room back; idempotent."""
+        """Release a reservation; idempotent."""
         kv_bytes = self.reservations.pop(work_id, None)
         if kv_bytes is not None:
             self.reserved_bytes -= kv_bytes
--- a/limpetroute/decisions/short_lane.py
+++ b/limpetroute/decisions/short_lane.py
@@ -1,19 +1,20 @@
-"""Keeps one prefill runner open for short work.
-
-Load pattern: dossiers of 30,000 tokens among lookups of forty. A
-runner reads one prompt at a time, so when every runner reads a dossier
-of 1.5 s, a lookup with a target of 1 s has no chance, whatever the
-queue's order. Long work that would block for over `BLOCK_SHARE` of the
-shortest target seen lately may therefore not start on the one runner
-with the least name: the same on every host, without a message. It
-costs long work that runner only while short work really comes, within
-`SEEN_S`.
-
-Short is what takes under `SHORT_SHARE` of the mean of the last
-requests: lookups of 5 ms among dossiers of 300 ms are, while checks
-that are all of about one size share one lane. (Over four times the
-mean as "long" was weighed: of dossiers among 30% lookups most then
-counted as short, and 9% of the lookups met their target at 3x.)
+"""Keeps one prefill runner free for short requests.
+
+Load pattern: prompts of 30,000 tokens among prompts of forty. A runner
+prefills one prompt at a time, so while every runner prefills a prompt
+of 1.5 s, a short request with a target of 1 s misses it in any order of
+the queue. Long requests that would block a runner for more than
+`BLOCK_SHARE` of the shortest recent target of a short request may
+therefore not start on the runner with the least name, which is the same
+on all hosts without a message. Long requests lose that runner only if a
+short request arrived within the last `SHORT_WORK_TTL_S`.
+
+A request is short if its prefill takes at most `SHORT_SHARE` of the
+mean of the last requests: prompts of 5 ms among prompts of 300 ms are
+short, while prompts of about one size share one lane. With "long"
+defined as more than four times the mean instead, most of the long
+prompts counted as short when 30% of the prompts were short, and only 9%
+of the short requests met their target at three times the capacity.
 """
 
 from limpetroute.decisions import smoothed
@@ -25,7 +26,7 @@
 
 
 class ShortLane:
-    """Tells long work from short, by model."""
+    """Classifies the requests of one model as short or long."""
 
     __slots__ = ('_last_short_s', '_mean_prefill', '_min_slack_s')
 
@@ -35,12 +36,12 @@
         self._min_slack_s = float('inf')
 
     def classify(self, prefill_s: float, slack_s: float, now_s: float) -> bool:
-        """Note a request; return whether it is long.
+        """Record a request and return whether it is long.
 
         Parameters
         ----------
-        read_s : float
-            Time to read its prompt.
+        prefill_s : float
+            Time to prefill its prompt.
         slack_s : float
             Time from its arrival to its target.
         """
@@ -54,7 +55,7 @@
         return long
 
     def would_block(self, prefill_s: float, now_s: float) -> bool:
-        """Whether work would block a runner for too long."""
+        """Whether a prefill would block short requests for too long."""
         if now_s - self._last_short_s > SHORT_WORK_TTL_S:
             return False
         return prefill_s > BLOCK_SHARE * self._min_slack_s
--- a/limpetroute/decisions/smoothed.py
+++ b/limpetroute/decisions/smoothed.py
@@ -1,15 +1,15 @@
-"""An exponentially smoothed value and its deviation."""
+"""Exponentially smoothed value and its deviation."""
 
 
 class Smoothed:
-    """Follows a value that changes slowly and comes with noise.
+    """Estimates a slowly changing value from noisy samples.
 
     Parameters
     ----------
     prior : float
-        Value believed before the first sample.
+        Value before the first sample.
     weight : float
-        Share of each new sample, between 0 and 1.
+        Weight of each new sample, between 0 and 1.
     """
 
     __slots__ = ('_weight', 'count', 'deviation', 'value')
@@ -24,7 +24,7 @@
         return f'{type(self).__name__}(value={self.value!r})'
 
     def add(self, sample: float) -> None:
-        """Take a sample; the first few weigh more."""
+        """Add a sample; the first few have a higher weight."""
         self.count += 1
         weight = max(self._weight, 1 / self.count)
         error = sample - self.value
--- a/limpetroute/decisions/stage.py
+++ b/limpetroute/decisions/stage.py
@@ -1,10 +1,10 @@
-"""Where a request is, and how it ended there."""
+"""Stages of a request and the ways in which it ends."""
 
 import enum
 
 
 class Stage(enum.StrEnum):
-    """Part of the path a request is in."""
+    """Stage that a request is in."""
 
     QUEUED = 'queued'
     PREFILL = 'prefill'
@@ -13,7 +13,7 @@
 
 
 class Ending(enum.StrEnum):
-    """How a request left the router."""
+    """Outcome of a request."""
 
     COMPLETED = 'completed'
     CANCELLED = 'cancelled'
--- a/limpetroute/decisions/transfer_budget.py
+++ b/limpetroute/decisions/transfer_budget.py
@@ -1,14 +1,15 @@
-"""Counts the bytes under way on each link and limits their time.
-
-Load pattern: long prompts that end together and share one link, and
-transfers that stall. Without it, transfers are started that cannot
-arrive before the result dies, and a stalled one holds its KV memory on
-both sides for the whole timeout (2 s of a result that lives 0.8 s).
-The rate of a link is learned from transfers: bytes under way at the
-start of one, its own included, over its time. A transfer is abandoned
-after `TIMEOUT_FACTOR` times its predicted time, at least
-`MIN_TIMEOUT_S` and at most `MAX_TIMEOUT_S`. The least is half of a
-result's life, so that the same result can still go elsewhere.
+"""Counts the bytes in flight on each link and sets transfer timeouts.
+
+Load pattern: long prefills that end together and share one link, and
+transfers that stall. Without this budget, transfers are started that
+cannot arrive before the prefill result expires, and a stalled transfer
+occupies KV memory on both sides for the whole timeout (2 s, while a
+result lives 0.8 s). The rate of a link is learned from transfers: the
+bytes in flight when one starts, its own included, divided by its
+duration. A transfer is abandoned after `TIMEOUT_FACTOR` times its
+predicted time, at least `MIN_TIMEOUT_S` and at most `MAX_TIMEOUT_S`.
+The minimum is half the lifetime of a result, so that the same result
+can still be sent to another runner.
 """
 
 import dataclasses
@@ -34,7 +35,7 @@
 
 
 class TransferBudget:
-    """Bytes under way and learned rates, by pair of zones."""
+    """Bytes in flight and learned rates, by pair of zones."""
 
     __slots__ = ('_in_flight', '_rates', '_transfers')
 
@@ -49,20 +50,21 @@
         return sum(self._in_flight.values())
 
     def predict_s(self, link: Link, kv_bytes: int) -> float:
-        """Time until a transfer started now would end."""
+        """Predicted duration of a transfer that starts now."""
         total = self._in_flight.get(link, 0) + kv_bytes
         return total / self._rate(link)
 
     def timeout_s(
         self, link: Link, kv_bytes: int, remaining_s: float
     ) -> float:
-        """When to abandon a transfer started now.
+        """Time after which to abandon a transfer that starts now.
 
         Parameters
         ----------
-        left_s : float
-            How long the result can still be sent elsewhere. A transfer
-            that ought to be over by then is abandoned in time for it.
+        remaining_s : float
+            Time for which the result can still be sent elsewhere. A
+            transfer that is predicted to end well before then is
+            abandoned at that time at the latest.
         """
         predicted_s = self.predict_s(link, kv_bytes)
         limit_s = TIMEOUT_FACTOR * predicted_s
@@ -73,7 +75,7 @@
     def start(
         self, work_id: str, link: Link, kv_bytes: int, now_s: float
     ) -> None:
-        """Count a transfer."""
+        """Start counting the bytes of a transfer."""
         self._end(work_id)
         total = self._in_flight.get(link, 0) + kv_bytes
         self._in_flight[link] = total
@@ -85,7 +87,7 @@
         )
 
     def complete(self, work_id: str, now_s: float) -> None:
-        """Uncount a transfer and learn its link's rate."""
+        """Stop counting a transfer and update its link's rate."""
         transfer = self._end(work_id)
         if transfer is None or now_s <= transfer.started_s:
             return
@@ -98,7 +100,7 @@
         )
 
     def abandon(self, work_id: str) -> None:
-        """Uncount a transfer that did not arrive; idempotent."""
+        """Stop counting a transfer that did not arrive; idempotent."""
         self._end(work_id)
 
     def _rate(self, link: Link) -> float:
--- a/limpetroute/decisions/two_choices.py
+++ b/limpetroute/decisions/two_choices.py
@@ -9,8 +9,8 @@
 class TwoChoices(least_load.LeastLoad):
     """Sends each request to the less loaded of two random runners.
 
-    Pattern of load: many routers with lagging reports; the randomness
-    keeps them from herding.
+    Load pattern: many routers with lagging reports; the random choice
+    keeps them from sending all requests to the same runner.
 
     Parameters
     ----------
--- a/limpetroute/decisions/window_minimum.py
+++ b/limpetroute/decisions/window_minimum.py
@@ -1,17 +1,17 @@
-"""The least of the last samples."""
+"""Minimum of the last samples."""
 
 import collections
 
 
 class WindowMinimum:
-    """Follows a value of which samples only ever show too much.
+    """Estimates a value whose samples are never too small.
 
     Parameters
     ----------
     prior : float
-        Value believed before the first sample.
+        Value before the first sample.
     window : int
-        Samples looked back on.
+        Number of samples that the minimum is taken over.
     """
 
     __slots__ = ('_samples', 'count', 'value')
@@ -27,7 +27,7 @@
         return f'{type(self).__name__}(value={self.value!r})'
 
     def add(self, sample: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         self.count += 1
         self._samples.append(sample)
         self.value = min(self._samples)
--- a/limpetroute/decisions/work.py
+++ b/limpetroute/decisions/work.py
@@ -1,4 +1,4 @@
-"""What the decisions know of one request."""
+"""Properties of a request that the decisions use."""
 
 import dataclasses
 
@@ -12,27 +12,27 @@
     work_id : str
         Name of the request inside this process.
     team : str
-        Customer whose share it counts against.
+        Team whose share it counts against.
     model : str
-        Model that is to answer.
+        Requested model.
     prompt_tokens : int
         Length of the prompt in tokens.
     max_tokens : int
         Most tokens the answer may have.
     arrived_s : float
-        When the request arrived, on the router's clock.
+        Time of arrival, on the router's clock.
     first_token_by_s : float
-        When the first token is due, on the same clock.
+        Time at which the first token is due, on the same clock.
     token_gap_s : float
         Longest mean time between tokens that still counts as goodput.
     prefix_blocks : tuple of int
         Hashes of the prompt's leading blocks, each over all before it.
     zone : str
-        Availability zone of the entry host that holds the request.
+        Availability zone of the entry host that serves the request.
     key : str
-        Names the request when its caller comes back with it.
+        Identifies the request when its caller retries it.
     returning : bool
-        Whether the caller says that it was told to come back now.
+        Whether the caller declares that this is a promised retry.
     """
 
     work_id: str
--- a/tests/decisions/test_parts.py
+++ b/tests/decisions/test_parts.py
@@ -298,7 +298,7 @@
             state.release(f'w{pick}')
         else:
             state.reserve(f'w{pick}', number)
-            with pytest.raises(ValueError, match='holds room'):
+            with pytest.raises(ValueError, match='has a reservation on'):
                 state.reserve(f'w{pick}', number)
         fleet.reorder(state)
     free = [
