--- a/limpetroute/decisions/full_policy.py
+++ b/limpetroute/decisions/full_policy.py
@@ -1,4 +1,4 @@
-"""The router that composes all decisions."""
+"""The router that combines all decisions."""
 
 import collections
 import heapq
@@ -42,7 +42,7 @@
 
 
 class FullPolicy:
-    """All decisions under load, behind the `Router` interface.
+    """Implements `Router` with all decisions, for fleets under load.
 
     Parameters
     ----------
@@ -97,25 +97,25 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is queued, held, counted or under way."""
-        held = any(
+        """Whether nothing is queued, reserved, counted or in flight."""
+        in_use = any(
             state.reservations or state.outstanding_prefills
             for state in self._fleet.runners.values()
         )
-        models = all(state.idle for state in self._models.values())
-        moving = self._transfers.in_flight_bytes
+        models_idle = all(state.idle for state in self._models.values())
+        in_flight = self._transfers.in_flight_bytes
         unreserved = any(self._unreserved.values())
-        rest = moving or unreserved
-        return not self._jobs and not held and models and not rest
+        active = in_flight or unreserved
+        return not self._jobs and not in_use and models_idle and not active
 
     @property
     def retry_tokens(self) -> float:
-        """Retries allowed now."""
+        """Number of retries that are allowed now."""
         return self._retries.tokens
 
     @property
     def runners(self) -> typing.Mapping[str, runner_state.RunnerState]:
-        """What is counted for each runner; to be read only."""
+        """State of each runner; callers must not change it."""
         return self._fleet.runners
 
     def predicted_s(self, work_id: str) -> float | None:
@@ -126,14 +126,14 @@
     def configure(
         self, config: policy_config.PolicyConfig, now_s: float
     ) -> None:
-        """Take a manifest's objective and shares; queues stay."""
+        """Apply a manifest's objective and shares; queues are kept."""
         self._config = config
         for state in self._models.values():
             state.queue.set_shares(config.team_shares)
         self._dirty_models.update(dict.fromkeys(self._models))
 
     def on_runner(self, facts: runner_facts.RunnerFacts, now_s: float) -> None:
-        """Take a runner's announcement, new or changed."""
+        """Store a new or changed announcement of a runner."""
         old = self._fleet.runners.get(facts.runner_id)
         if old is not None and old.facts.incarnation != facts.incarnation:
             self._reset_runner(facts.runner_id)
@@ -141,14 +141,14 @@
             self._mark_dirty(facts.models)
 
     def on_runner_gone(self, runner_id: str, now_s: float) -> None:
-        """Forget a runner whose heartbeats ended."""
+        """Remove a runner whose heartbeats stopped."""
         state = self._fleet.remove(runner_id)
         if state is not None:
             self._reset_runner(runner_id)
             self._mark_dirty(state.facts.models)
 
     def on_report(self, report: load_report.LoadReport, now_s: float) -> None:
-        """Take a load report; it tells what other hosts hold."""
+        """Apply a load report, which shows the load of other hosts."""
         state = self._fleet.runners.get(report.runner_id)
         if state is None:
             return
@@ -160,18 +160,18 @@
     def on_cached(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
-        """Take a cache event: these prefix blocks are held there."""
+        """Apply a cache event: the runner has cached these blocks."""
         if runner_id in self._fleet.runners:
             self._prefix_index.add(runner_id, blocks, now_s)
 
     def on_evicted(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
-        """Take a cache event: these prefix blocks are no longer held."""
+        """Apply a cache event: the runner has evicted these blocks."""
         self._prefix_index.remove(runner_id, blocks)
 
     def offer(self, item: work.Work, now_s: float) -> None:
-        """Admit a request to the queue or refuse it at once."""
+        """Queue a request or reject it at once."""
         idle_first_token_s = self._forecast.idle_first_token_s(item)
         limit_s = admission.limit_s(
             arrived_s=item.arrived_s,
@@ -217,7 +217,7 @@
     def on_prefill_done(
         self, work_id: str, cached_tokens: int, now_s: float
     ) -> None:
-        """Learn from the reading and go on to the decode."""
+        """Record the prefill's time and let the decode start."""
         job = self._jobs.get(work_id)
         if job is None or job.phase is not Phase.PREFILL:
             return
@@ -231,7 +231,7 @@
         self._mark_dirty((job.item.model,))
 
     def on_transfer_done(self, work_id: str, now_s: float) -> None:
-        """Learn the link's rate."""
+        """Record the transfer's time, from which the link's rate follows."""
         job = self._jobs.get(work_id)
         if job is None or job.phase is not Phase.TRANSFER:
             return
@@ -240,7 +240,7 @@
         self._ejection.record_success(job.decode_id or '')
 
     def on_tokens(self, work_id: str, count: int, now_s: float) -> None:
-        """Learn the time between tokens."""
+        """Record the first token and the time between tokens."""
         job = self._jobs.get(work_id)
         if job is None or job.phase is not Phase.DECODE or count < 1:
             return
@@ -250,7 +250,8 @@
             job.delivered_tokens = 1
             job.last_token_s = now_s
         elif job.last_token_s < job.prefill_done_s:
-            # The first token after a restart says nothing of the pace.
+            # The gap before the first token after a restart includes
+            # the new prefill and is no time between tokens.
             job.delivered_tokens += 1
             job.last_token_s = now_s
             count -= 1
@@ -266,10 +267,10 @@
     def on_denied(
         self, work_id: str, runner_id: str, free_slots: int, now_s: float
     ) -> None:
-        """Correct the count of a runner and try again.
+        """Correct the free slots of a runner and place the request again.
 
-        Reports lag, so several hosts see the same slot free. The lease
-        holder's answer is exact and replaces what was believed.
+        Reports lag, so several hosts see the same slot as free. The
+        lease holder's count is exact and replaces the estimate.
         """
         job = self._jobs.get(work_id)
         state = self._fleet.runners.get(runner_id)
@@ -297,7 +298,7 @@
         now_s: float,
         may_repeat: bool = True,
     ) -> None:
-        """Run the request elsewhere, or give it up."""
+        """Retry the request on another runner, or give it up."""
         job = self._jobs.get(work_id)
         if job is None or job.phase is Phase.OVER:
             return
@@ -308,15 +309,16 @@
             if self._config.uses(Decision.EJECTION):
                 self._ejection.record_failure(failing, now_s)
         self._release_all(job)
-        # The same result that fails on its way to a second runner is
-        # itself at fault: it is read again, and that runner may be used.
-        again = at is stage.Stage.TRANSFER and job.transfer_count > 1
-        if not again:
+        # If the transfer of one result fails to a second runner, the
+        # result is at fault and not the runner: the prompt is prefilled
+        # again, and the runner may be used for it.
+        bad_result = at is stage.Stage.TRANSFER and job.transfer_count > 1
+        if not bad_result:
             self._avoid(job, at, runner_id)
         if not may_repeat:
             self._refuse(job, action.Reason.RETRIES, now_s)
             return
-        if at is stage.Stage.TRANSFER and was_decode and not again:
+        if at is stage.Stage.TRANSFER and was_decode and not bad_result:
             if (
                 now_s + RESULT_MARGIN_S
                 < job.prefill_done_s + self._result_ttl_s
@@ -326,7 +328,7 @@
         self._retry(job, now_s)
 
     def on_end(self, work_id: str, how: stage.Ending, now_s: float) -> None:
-        """Forget the request and all that is held for it."""
+        """Remove the request and release all it has reserved."""
         job = self._jobs.pop(work_id, None)
         if job is None:
             return
@@ -337,14 +339,14 @@
         self._release_all(job)
 
     def actions(self, now_s: float) -> list[action.Action]:
-        """Return what is to be done now, in order."""
+        """Return the actions to execute now, in order."""
         self._resume_paused(now_s)
         self._expire(now_s)
         while self._dirty_models:
             models = list(self._dirty_models)
             self._dirty_models.clear()
-            # A slot that came free goes to a finished prefill of any
-            # model before it lets a new one start.
+            # A free slot goes to a finished prefill of any model before
+            # it allows a new prefill to start.
             for model in models:
                 self._serve_awaiting(model, now_s)
             for model in models:
@@ -354,7 +356,7 @@
         return out
 
     def wake_s(self) -> float | None:
-        """Return the first time at which something lapses."""
+        """Return the earliest deadline, end of a pause or ejection."""
         while self._expiries:
             _, work_id = self._expiries[0]
             job = self._jobs.get(work_id)
@@ -401,11 +403,17 @@
         self._ejection.remove_runner(runner_id)
 
     def _check_servable(self, job: job_module.Job, now_s: float) -> bool:
-        """Refuse what no runner could take.
+        """Reject a request that no runner can serve.
 
-        A model without runners is often one whose runner restarts, or
-        a host that has just started and has not heard the heartbeats
-        yet; for `EMPTY_GRACE_S` its requests wait for their target.
+        A model often has no runners only because its runner restarts or
+        because this host has just started and has not received the
+        heartbeats yet. For `NO_RUNNER_GRACE_S` such requests are
+        queued until their target.
+
+        Returns
+        -------
+        bool
+            False if the request was rejected.
         """
         model = job.item.model
         example = self._forecast.freest_decode_runner(model)
@@ -433,7 +441,13 @@
         is_promised: bool,
         now_s: float,
     ) -> bool:
-        """Predict the first token; return whether the limit is met."""
+        """Predict the time of the first token.
+
+        Returns
+        -------
+        bool
+            Whether it meets the request's limit, with the margin.
+        """
         item = job.item
         queued = job.queue_entry
         assert queued is not None
@@ -443,8 +457,8 @@
         if not is_promised:
             ahead_s += state.queue.cost_ahead_s(item.team, long=queued.long)
         if over_share and len(state.queue) and not is_promised:
-            # A team below its share needs not make room for others'
-            # appointments.
+            # Teams below their share need not leave capacity for the
+            # retries that were promised to others.
             ahead_s += state.retry_promises.expected_cost_s
         wait_s = ahead_s / state.drain_rate.value
         if self._choose_prefill(job, state, now_s) is None:
@@ -506,7 +520,7 @@
         state: model_state.ModelState,
         prefill_done_in_s: float,
     ) -> bool:
-        """Whether a slot will be there when the prefill ends."""
+        """Whether a decode slot will be free when the prefill ends."""
         if not self._config.uses(Decision.RESERVATION):
             return True
         unreserved = self._unreserved[self._pool(job)]
@@ -551,7 +565,11 @@
         self._enqueue(job, self._model(job.item.model), now_s)
 
     def _shed(self, state: model_state.ModelState, now_s: float) -> None:
-        """Give up at once what a new request has pushed too far back."""
+        """Reject queued requests that can no longer meet their limit.
+
+        A new request may move the requests of the heaviest team so far
+        back that they would miss it.
+        """
         for _ in range(MAX_SHED):
             victim = state.queue.newest_of_heaviest_team()
             if victim is None:
@@ -587,7 +605,7 @@
         state: model_state.ModelState,
         now_s: float,
     ) -> bool:
-        """Start a request or give it up; False where it must wait."""
+        """Start a request or give it up; return False if it must wait."""
         if job.delivered_tokens and self._all_runners_failed(job):
             self._strand(job, state, now_s)
             return True
@@ -615,11 +633,12 @@
         state: model_state.ModelState,
         now_s: float,
     ) -> None:
-        """Set a begun answer aside that every runner has failed.
+        """Move a started answer that every runner failed out of the queue.
 
-        It waits until its limit for a runner that starts anew. In the
-        queue it stood before all others and counted as work ahead of
-        who came: for five seconds callers of an idle fleet were refused.
+        The request waits for a runner to restart, until its limit. In
+        the queue it would be ahead of all others and would count as
+        work ahead of new requests: callers of an idle fleet were
+        rejected for five seconds.
         """
         state.queue.discard(job.item.work_id)
         job.phase = Phase.STRANDED
@@ -632,7 +651,7 @@
     def _requeue_stranded(
         self, state: model_state.ModelState, now_s: float
     ) -> None:
-        """Queue those again for which there is a new runner."""
+        """Queue stranded requests again that a new runner can serve."""
         for work_id, job in list(state.stranded.items()):
             if self._all_runners_failed(job):
                 continue
@@ -642,12 +661,13 @@
     def _can_place_retry(
         self, job: job_module.Job, zone: str, now_s: float
     ) -> bool:
-        """Whether a request that failed somewhere has a decode runner now.
+        """Whether a request that failed before has a decode runner now.
 
-        Room is counted over the pool, and the free slot may be at the
-        very runner that failed the request: its prompt would be read
-        again and thrown away, since nobody can take the result. So a
-        request that may not go everywhere starts only with a slot held.
+        Free slots are counted over the pool, and the only free slot may
+        be on the runner that failed the request. Its prompt would be
+        prefilled again and the result wasted, because no other runner
+        has a slot. A request that excludes runners therefore starts only
+        if a decode runner can be chosen at once.
         """
         if not job.failed_runners or not self._config.uses(
             Decision.RESERVATION
@@ -705,7 +725,10 @@
         )
 
     def _priority(self, queued: fair_queue.Queued) -> int:
-        """Let short work pass others' long work in a runner's queue."""
+        """Return a higher priority for short requests than for long ones.
+
+        A runner's queue also holds long prefills of other hosts.
+        """
         if queued.long or not self._config.uses(Decision.SHORT_LANE):
             return 0
         return 1
@@ -733,11 +756,12 @@
         self._fleet.reorder(target)
 
     def _pool(self, job: job_module.Job) -> frozenset[str]:
-        """Name the decode runners that a request may go to.
+        """Return the key of the decode runners that serve a request.
 
-        Models that share runners share their slots: counted by model,
-        two models each took the last one, and 15% of the reading was
-        thrown away on the shape of the goal at 1.2x.
+        Models that share runners share their slots. When slots were
+        counted by model, two models each took the last slot, and 15% of
+        the prefill work was wasted in the bench at 1.2 times the
+        capacity. The key is the set of models of a decode runner.
         """
         example = self._forecast.freest_decode_runner(job.item.model)
         if example is None:
@@ -755,7 +779,7 @@
             job.unreserved_pool = None
 
     def _serve_awaiting(self, model: str, now_s: float) -> None:
-        """Send finished prefills on, oldest first."""
+        """Start the transfers of finished prefills, oldest first."""
         state = self._models[model]
         for work_id, job in list(state.awaiting.items()):
             if job.decode_id is not None and not self._has_reservation(job):
@@ -770,12 +794,11 @@
             self._start_transfer(job, now_s)
 
     def _has_reservation(self, job: job_module.Job) -> bool:
-        """Whether the room taken at the start is still counted.
+        """Whether the decode runner still counts the reservation.
 
-        A runner that restarted while the prompt was read is there again
-        under its old name, and the room went with its former self: a
-        decode sent there uncounted lets later requests be promised the
-        same slot and memory.
+        A runner that restarts during the prefill keeps its name but
+        loses its reservations. A decode sent there without a new one
+        would let later requests reserve the same slot and memory.
         """
         state = self._fleet.runners.get(job.decode_id or '')
         return state is not None and job.item.work_id in state.reservations
@@ -827,15 +850,16 @@
     ) -> None:
         read = max(1, job.prefill_tokens - cached_tokens)
         took_s = now_s - job.prefill_sent_s
-        # Behind our own work the time is not the runner's, and what is
-        # taken off for that work is a guess that may be too much.
-        alone = job.own_work_ahead_s == 0.0
-        if alone:
+        # A prefill that waited behind other work of this host is no
+        # sample of the runner's speed: the time to subtract for that
+        # work is an estimate and may be too high.
+        is_sample = job.own_work_ahead_s == 0.0
+        if is_sample:
             self._predictor.record_prefill(runner_id, read, took_s)
         self._prefix_index.record_accuracy(job.expected_cached, cached_tokens)
         self._prefix_index.add(runner_id, job.item.prefix_blocks, now_s)
         state = self._fleet.runners.get(runner_id)
-        if state is None or not alone:
+        if state is None or not is_sample:
             return
         expected_s = self._predictor.prefill_s(runner_id, read)
         if took_s > 1.5 * expected_s:
@@ -884,8 +908,8 @@
         state = self._fleet.runners.get(runner_id)
         if state is None:
             return
-        # A transfer that failed may be the link's fault: where there is
-        # one decode runner only, it is tried once more.
+        # A failed transfer may be the fault of the link: the only decode
+        # runner of a model is tried once more.
         if at is stage.Stage.TRANSFER:
             if self._fleet.count(state.facts.role, job.item.model) < 2:
                 return
@@ -939,7 +963,7 @@
                 self._expire_awaiting(job, now_s)
 
     def _latest_start_s(self, job: job_module.Job) -> float:
-        """Return until when a start may still make the limit."""
+        """Return the latest start that may still meet the limit."""
         return job.limit_s - 0.5 * job.service_s
 
     def _expire_queued(self, job: job_module.Job, now_s: float) -> None:
@@ -950,7 +974,7 @@
         self._refuse(job, action.Reason.DEADLINE, now_s)
 
     def _expire_awaiting(self, job: job_module.Job, now_s: float) -> None:
-        """Read again, or give up, where the result has died."""
+        """Retry a request whose prefill result has expired."""
         until_s = job.prefill_done_s + self._result_ttl_s - RESULT_MARGIN_S
         if until_s > now_s:
             return
@@ -992,7 +1016,7 @@
             self._mark_dirty(state.facts.models)
 
     def _release_all(self, job: job_module.Job) -> None:
-        """Give back everything that is held for a request."""
+        """Release everything that is reserved for a request."""
         work_id = job.item.work_id
         self._transfers.abandon(work_id)
         self._end_prefill(job)
@@ -1008,11 +1032,12 @@
     def _refuse(
         self, job: job_module.Job, reason: action.Reason, now_s: float
     ) -> None:
-        """Give up with an appointment."""
+        """Reject the request and promise its caller a time to retry."""
         state = self._model(job.item.model)
         queued = job.queue_entry
-        # Misses that a failed runner caused say nothing of the margin;
-        # learned from, they kept callers out long after it was back.
+        # A miss caused by a failed runner does not count for the margin:
+        # counted, such misses caused rejections long after the runner
+        # was back.
         failed = job.attempts > 0 or self._ejection.ejected
         is_queued = queued is not None and job.item.work_id in state.queue
         if is_queued and not failed:
--- a/limpetroute/decisions/reservation.py
+++ b/limpetroute/decisions/reservation.py
@@ -30,16 +30,18 @@
     hold_s: float,
     prefill_done_in_s: float,
 ) -> bool:
-    """Whether a prefill may start without holding a slot.
+    """Whether a prefill may start without a reserved decode slot.
 
     Parameters
     ----------
     free_slots : int
-        Slots free now, over all decode runners of the model looked at.
-    unslotted : int
-        Prefills under way that hold no slot yet.
+        Free slots on the examined decode runners of the model.
+    unreserved : int
+        Running prefills without a reserved decode slot.
     busy_slots : int
         Slots in use, each for ``hold_s`` on average.
+    hold_s : float
+        Mean time for which a request uses a decode slot.
     prefill_done_in_s : float
         Time until the prefill ends.
     """
