--- a/limpetroute/agreement/__init__.py
+++ b/limpetroute/agreement/__init__.py
@@ -1,8 +1,9 @@
-"""Pure replica state machine: no sockets, no clock, no disk.
+"""Consensus as a pure state machine: no sockets, no clock, no disk.
 
-Usable alone: make a `Replica`, feed it events with the time, and carry
-out the `Effects` it returns. Several groups in one process are several
-replicas; their writes may share one file and one sync.
+The package can be used alone: create a `Replica`, pass it events with
+the time, and execute the `Effects` that it returns. Several groups in
+one process are several replicas; their writes may share one file and
+one sync.
 """
 
 from limpetroute.agreement.bootstrap import initial_state
--- a/limpetroute/agreement/bootstrap.py
+++ b/limpetroute/agreement/bootstrap.py
@@ -1,4 +1,4 @@
-"""The first membership of a group."""
+"""Initial state of a new group."""
 
 import typing
 
@@ -11,7 +11,7 @@
 def initial_state(
     replicas: typing.Mapping[str, str],
 ) -> saved_state.SavedState:
-    """Return what each of a new group's replicas starts from.
+    """Return the state that each replica of a new group starts from.
 
     Parameters
     ----------
--- a/limpetroute/agreement/effects.py
+++ b/limpetroute/agreement/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks of the program that embeds it."""
+"""Effects that a replica requests from the program that embeds it."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SaveVote:
-    """Write the term and the vote."""
+    """Write the term and the vote to disk."""
 
     term: int
     voted_for: str
@@ -17,16 +17,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SaveEntries:
-    """Write entries; they replace all from the first one's index on."""
+    """Write entries; they replace all entries from the first index on."""
 
     entries: tuple[entry.Entry, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SaveSnapshot:
-    """Write a snapshot.
+    """Write a snapshot and drop the entries up to it.
 
-    ``keeps_log`` tells whether entries after it stay; all up to it go.
+    ``keeps_log`` is true if the entries after it are kept.
     """
 
     snapshot: snapshot_module.Snapshot
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Appended:
-    """A proposal is in the leader's log; it counts once committed."""
+    """A proposal is in the leader's log, but not committed yet."""
 
     first_index: int
     term: int
@@ -46,32 +46,32 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """A proposal was not taken: nothing of it is written anywhere."""
+    """A proposal was refused; nothing of it was written to any log."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Effects:
-    """What one step asks for.
+    """Effects of one step.
 
     Parameters
     ----------
     write_id : int or None
-        Number of ``writes``, to be given back in `Persisted` once they
-        and all earlier ones are synced. Several steps' writes may share
-        one sync (group commit).
+        Number of ``writes``, to be passed back in `Persisted` once they
+        and all earlier writes are synced. The writes of several steps
+        may share one sync (group commit).
     writes : tuple of Write
-        To be written in order.
+        Writes to carry out in order.
     sends : tuple of Envelope
-        To be sent now. Messages that rest on a write are not here: a
-        later step releases them, when it is told `Persisted`.
+        Messages to send now. Messages that depend on a write are not
+        included: the step for its `Persisted` event returns them.
     restored : Snapshot or None
         State that replaces the program's, before ``committed``.
     committed : tuple of Entry
-        Entries to apply, in order, each exactly once for a run.
+        Entries to apply in order, each exactly once per run.
     proposal : Appended, Refused or None
-        What became of a proposal or membership change.
+        Outcome of a proposal or membership change.
     """
 
     write_id: int | None = None
--- a/limpetroute/agreement/entry.py
+++ b/limpetroute/agreement/entry.py
@@ -5,7 +5,7 @@
 
 
 class EntryKind(enum.StrEnum):
-    """What an entry is for."""
+    """Kind of a log entry."""
 
     COMMAND = 'command'
     MEMBERS = 'members'
@@ -19,11 +19,11 @@
     Parameters
     ----------
     index : int
-        Place in the log, from 1.
+        Position in the log, from 1.
     term : int
-        Term of the leader that made it.
+        Term of the leader that appended it.
     kind : EntryKind
-        Command of the embedding program, a membership, or nothing.
+        Command of the embedding program, membership, or no-op.
     data : bytes
         The command, or the membership's JSON text.
     """
--- a/limpetroute/agreement/events.py
+++ b/limpetroute/agreement/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a replica."""
+"""Input events of a replica."""
 
 import dataclasses
 
@@ -12,23 +12,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Received:
-    """A message came."""
+    """A message arrived."""
 
     envelope: messages.Envelope
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Propose:
-    """Commands to append, in order."""
+    """The program proposes commands, to be appended in order."""
 
     commands: tuple[bytes, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AddLearner:
-    """A new replica is to receive the log.
+    """A new replica shall receive the log.
 
-    The leader makes it a voter once it has caught up.
+    The leader promotes it to a voter once it has caught up.
     """
 
     replica_id: str
@@ -37,28 +37,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RemoveMember:
-    """A replica is gone for good and counts no more."""
+    """A replica shall be removed from the membership for good."""
 
     replica_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Persisted:
-    """All writes up to ``write_id`` are on disk, synced."""
+    """All writes up to ``write_id`` are synced to disk."""
 
     write_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PersistFailed:
-    """A write failed; what the disk holds is not known any more."""
+    """A write failed, so the contents of the disk are unknown."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Compact:
-    """``data`` is the state after the entry at ``index``."""
+    """Replace the log up to ``index`` by a snapshot.
+
+    ``data`` is the program's state after the entry at ``index``.
+    """
 
     index: int
     data: bytes
--- a/limpetroute/agreement/log.py
+++ b/limpetroute/agreement/log.py
@@ -1,4 +1,4 @@
-"""The log in memory, after its snapshot."""
+"""Replicated log in memory, on top of a snapshot."""
 
 import typing
 
@@ -8,14 +8,14 @@
 
 
 class Log:
-    """The log in memory, after its snapshot.
+    """Replicated log in memory, on top of a snapshot.
 
     Parameters
     ----------
     snapshot : Snapshot
-        State in place of all entries up to its last.
+        State that stands for all entries up to its last index.
     entries : iterable of Entry
-        Entries after it, without gaps.
+        Entries after the snapshot, without gaps.
     """
 
     __slots__ = ('_entries', '_memberships', 'snapshot')
@@ -40,7 +40,7 @@
 
     @property
     def base_index(self) -> int:
-        """Last index that the snapshot stands for."""
+        """Last index that the snapshot covers."""
         return self.snapshot.last_index
 
     @property
@@ -57,7 +57,7 @@
 
     @property
     def membership(self) -> membership_module.Membership:
-        """The newest membership; it holds from when it is appended."""
+        """Newest membership; it takes effect when it is appended."""
         if self._memberships:
             return self._memberships[-1][1]
         return self.snapshot.membership
@@ -78,7 +78,7 @@
         return membership_at_index
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index, or None if it is not here."""
+        """Return the term at an index, or None if it is not in the log."""
         if index == self.base_index:
             return self.snapshot.last_term
         if not self.base_index < index <= self.last_index:
@@ -86,17 +86,18 @@
         return self._entries[index - self.base_index - 1].term
 
     def last_index_before_term(self, index: int, term: int, floor: int) -> int:
-        """Return the last index below ``index`` of another term.
+        """Return the last index before the entries of ``term``.
 
-        Not below ``floor``: a leader that goes back past a whole term
-        at a time finds a common entry in few messages.
+        The search goes back from ``index`` and not below ``floor``. A
+        leader that skips a whole term at a time finds the last common
+        entry in few messages.
         """
         while index > floor and self.term_at(index) == term:
             index -= 1
         return index
 
     def first_new(self, entries: tuple[entry_module.Entry, ...]) -> int | None:
-        """Return the place of the first entry that is not here."""
+        """Return the position of the first entry not in the log."""
         for position, entry in enumerate(entries):
             if entry.index <= self.base_index:
                 continue
@@ -107,7 +108,7 @@
     def between(
         self, first_index: int, last_index: int
     ) -> tuple[entry_module.Entry, ...]:
-        """Return entries, both ends included."""
+        """Return the entries from one index to another, inclusive."""
         start = first_index - self.base_index - 1
         return tuple(self._entries[start : last_index - self.base_index])
 
@@ -136,7 +137,7 @@
         ]
 
     def compact(self, snapshot: snapshot_module.Snapshot) -> None:
-        """Put a snapshot in place of the entries up to its last."""
+        """Replace the entries that a snapshot covers by the snapshot."""
         del self._entries[: snapshot.last_index - self.base_index]
         self._memberships = [
             pair for pair in self._memberships if pair[0] > snapshot.last_index
--- a/limpetroute/agreement/member.py
+++ b/limpetroute/agreement/member.py
@@ -1,21 +1,21 @@
-"""One replica as the others know it."""
+"""Member of a group."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """One replica as the others know it.
+    """One replica in the membership of a group.
 
     Parameters
     ----------
     replica_id : str
-        Identity of one disk. A host whose disk was lost comes back
-        under a new one: an empty disk has forgotten its votes.
+        Identity of one disk. A host that lost its disk gets a new
+        identity, because the votes of the old one are lost.
     host_id : str
-        The host that carries the disk.
+        Host that the disk belongs to.
     voter : bool
-        Whether it counts for a quorum; a learner only receives.
+        Whether it counts for a quorum; a learner only receives the log.
     """
 
     replica_id: str
--- a/limpetroute/agreement/membership.py
+++ b/limpetroute/agreement/membership.py
@@ -1,4 +1,4 @@
-"""The replicas of one group."""
+"""Membership of a group."""
 
 import dataclasses
 import json
@@ -18,9 +18,9 @@
     members : tuple of Member
         The replicas.
     voters : tuple of str
-        Identities that count for a quorum.
+        Identities of the voters.
     quorum : int
-        Number of voters that decide.
+        Number of voters that form a majority.
     """
 
     members: tuple[member.Member, ...] = ()
@@ -37,12 +37,12 @@
     def quorum_value(
         self, value_of: typing.Callable[[str], _Value]
     ) -> _Value | None:
-        """Return the greatest value that a quorum of voters reaches.
+        """Return the greatest value that a quorum of voters has reached.
 
         Parameters
         ----------
         value_of : callable
-            Gives a voter's value.
+            Returns a voter's value.
 
         Returns
         -------
@@ -55,14 +55,14 @@
         return values[len(values) - self.quorum]
 
     def get(self, replica_id: str) -> member.Member | None:
-        """Return one member."""
+        """Return the member with this identity, or None."""
         for current in self.members:
             if current.replica_id == replica_id:
                 return current
         return None
 
     def of_host(self, host_id: str) -> member.Member | None:
-        """Return the member that a host carries."""
+        """Return the member on a host, or None."""
         for current in self.members:
             if current.host_id == host_id:
                 return current
@@ -76,7 +76,7 @@
         return Membership(members=(*self.members, learner))
 
     def with_voter(self, replica_id: str) -> 'Membership':
-        """Return the membership with a learner made voter."""
+        """Return the membership with a learner promoted to voter."""
         members = []
         for current in self.members:
             if current.replica_id == replica_id:
@@ -93,13 +93,13 @@
         )
 
     def encode(self) -> bytes:
-        """Return the JSON text that `decode` takes."""
+        """Return the membership as JSON text."""
         rows = [[m.replica_id, m.host_id, m.voter] for m in self.members]
         return json.dumps(rows, separators=(',', ':')).encode()
 
     @classmethod
     def decode(cls, data: bytes) -> 'Membership':
-        """Return the membership of a JSON text."""
+        """Parse the JSON text that `encode` returns."""
         rows = json.loads(data)
         return cls(
             members=tuple(
--- a/limpetroute/agreement/membership_reconciler.py
+++ b/limpetroute/agreement/membership_reconciler.py
@@ -1,30 +1,31 @@
-"""Keeps a group at its size while hosts come, go and lose disks."""
+"""Keeps the number of voters while hosts join, leave or lose disks."""
 
 import typing
 
 from limpetroute.agreement import events
 from limpetroute.agreement import replica as replica_module
 
-# A host that is frozen or cut off for some seconds comes back with its
-# disk; taking its place at once would cost a copy of the state each
-# time. After this long without a word, a newcomer that has caught up
-# takes it.
+# A host that is frozen or partitioned for some seconds returns with its
+# disk, and replacing it at once would cost a copy of the state each time.
+# After this time without contact, a learner that has caught up replaces
+# it.
 REPLACE_AFTER_S = 6.0
 
 
 class MembershipReconciler:
-    """Keeps a group at its size while hosts come, go and lose disks.
+    """Keeps the number of voters while hosts join, leave or lose disks.
 
-    One change at a time, and a voter is removed only for one of three
-    reasons: its host is there with another disk, so this one is lost;
-    it was silent for `GONE_S` and a caught-up learner can take its
-    place; or it is one too many. A removal with nobody to take the
-    place would only make the group bear fewer losses.
+    The leader makes one membership change at a time. It removes a
+    member whose host is present with another disk, because its own disk
+    is lost, and a learner that was silent for `REPLACE_AFTER_S`. It
+    removes a silent voter only if a learner that has caught up can
+    replace it and the group has all wanted voters. A removal without a
+    replacement would only reduce the losses that the group tolerates.
 
     Parameters
     ----------
-    gone_s : float
-        Silence after which a newcomer takes a host's place.
+    replace_after_s : float
+        Silence after which a member is replaced.
     """
 
     def __init__(self, *, replace_after_s: float = REPLACE_AFTER_S) -> None:
@@ -42,16 +43,16 @@
         wanted_voters: int,
         now_s: float,
     ) -> events.AddLearner | events.RemoveMember | None:
-        """Return the next change of the membership, if one is due.
+        """Return the next membership change, if one is due.
 
         Parameters
         ----------
         replica : Replica
             This host's replica of the group.
         present : mapping of str to str
-            The replica of each host heard of late, by host.
+            Replica of each host that was in contact recently, by host.
         wanted_voters : int
-            Voters that the group should have.
+            Number of voters that the group should have.
         now_s : float
             The replica's clock.
         """
@@ -101,7 +102,7 @@
             for member in replica.membership.members
             if not member.voter
         ]
-        ready = any(replica.has_caught_up(member) for member in learners)
+        ready = any(replica.has_caught_up(learner) for learner in learners)
         for member in replica.membership.members:
             if member.replica_id == replica.replica_id:
                 continue
--- a/limpetroute/agreement/messages.py
+++ b/limpetroute/agreement/messages.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PreVoteRequest:
-    """Asks whether an election in ``term`` could be won."""
+    """Asks whether the receiver would vote for the sender in ``term``."""
 
     term: int
     last_index: int
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PreVoteReply:
-    """Answers a `PreVoteRequest`; it promises nothing."""
+    """Reply to a `PreVoteRequest`; it does not bind the sender."""
 
     term: int
     granted: bool
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class VoteRequest:
-    """Asks for the vote in ``term``."""
+    """Asks for the receiver's vote in ``term``."""
 
     term: int
     last_index: int
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class VoteReply:
-    """Answers a `VoteRequest`; a vote given is on disk."""
+    """Reply to a `VoteRequest`, sent once the vote is on disk."""
 
     term: int
     granted: bool
@@ -49,8 +49,8 @@
 class AppendRequest:
     """Entries after ``prev_index``; without entries, a heartbeat.
 
-    ``round_s`` is the leader's clock at sending and comes back in the
-    reply: the leader's lease runs from it.
+    ``round_s`` is the leader's clock at the time of sending. The reply
+    repeats it, and the leader's lease starts at it.
     """
 
     term: int
@@ -64,10 +64,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AppendReply:
-    """Answers an `AppendRequest` or a `SnapshotRequest`.
+    """Reply to an `AppendRequest` or a `SnapshotRequest`.
 
-    ``match_index`` is, if ``ok``, the last entry known to be the
-    leader's own and on disk here; else the place to try next.
+    If ``ok``, ``match_index`` is the last entry that equals the
+    leader's and is on the sender's disk; else it is the last index from
+    which the leader should try next.
     """
 
     term: int
@@ -79,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SnapshotRequest:
-    """State for a replica that is behind the leader's whole log."""
+    """Snapshot for a replica that is behind the start of the log."""
 
     term: int
     snapshot: snapshot_module.Snapshot
@@ -100,10 +101,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Envelope:
-    """A message with both ends' identities.
+    """A message with the identities of its sender and receiver.
 
-    A replica drops what is not addressed to its own identity, so a
-    host that lost its disk never answers for its former self.
+    A replica drops messages to other identities, so a host that lost
+    its disk never answers for its former replica.
     """
 
     sender: str
--- a/limpetroute/agreement/outbox.py
+++ b/limpetroute/agreement/outbox.py
@@ -1,4 +1,4 @@
-"""Messages that wait for the disk."""
+"""Queue of messages that wait for a disk write."""
 
 import collections
 
@@ -6,11 +6,11 @@
 
 
 class Outbox:
-    """Holds messages until the writes they rest on are synced.
+    """Holds messages until the writes they depend on are synced.
 
-    A vote or an acknowledgement that left before its write was synced
-    is forgotten in a crash while others count on it: two leaders of
-    one term, or an acknowledged entry gone.
+    If a vote or an acknowledgement were sent before its write is
+    synced, a crash could undo it while other replicas count on it. Two
+    leaders of one term or a lost acknowledged entry would follow.
     """
 
     __slots__ = ('_held', 'ready')
@@ -25,21 +25,21 @@
         return f'{type(self).__name__}(held={len(self._held)!r})'
 
     def hold(self, write_id: int, envelope: messages.Envelope) -> None:
-        """Keep a message until ``write_id`` is synced."""
+        """Hold a message until ``write_id`` is synced."""
         self._held.append((write_id, envelope))
 
     def release(self, write_id: int) -> None:
-        """Make ready what rests on writes up to ``write_id``."""
+        """Make the messages that depend on writes up to this one ready."""
         while self._held and self._held[0][0] <= write_id:
             self.ready.append(self._held.popleft()[1])
 
     def drop(self) -> None:
-        """Forget everything, held or ready."""
+        """Discard all messages, held or ready."""
         self._held.clear()
         self.ready.clear()
 
     def take(self) -> tuple[messages.Envelope, ...]:
-        """Return and forget what is ready."""
+        """Remove and return the ready messages."""
         if not self.ready:
             return ()
         ready = tuple(self.ready)
--- a/limpetroute/agreement/progress.py
+++ b/limpetroute/agreement/progress.py
@@ -1,4 +1,4 @@
-"""How far a member has come, as its leader knows."""
+"""Replication progress of a member, as its leader tracks it."""
 
 import dataclasses
 import math
@@ -6,18 +6,18 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Progress:
-    """How far a member has come, as its leader knows.
+    """Replication progress of a member, as its leader tracks it.
 
     Parameters
     ----------
     next_index : int
         Next entry to send.
     match_index : int
-        Last entry that it has on disk.
+        Last entry that the member has on disk.
     acked_round_s : float
-        Newest of the leader's send times that it has answered.
+        Send time of the newest message that the member has answered.
     snapshot_sent_s : float
-        When it was last sent a snapshot.
+        Time at which the member was last sent a snapshot.
     """
 
     next_index: int
--- a/limpetroute/agreement/replacement.py
+++ b/limpetroute/agreement/replacement.py
@@ -1,4 +1,4 @@
-"""The next step of bringing a host's new replica in."""
+"""Replaces the replica of a host that got a new disk."""
 
 from limpetroute.agreement import events
 from limpetroute.agreement import membership as membership_module
@@ -10,19 +10,24 @@
     host_id: str,
     replica_id: str,
 ) -> events.AddLearner | events.RemoveMember | None:
-    """Return the next change that a host's new identity asks for.
+    """Return the next membership change for a host's new replica.
 
-    The former replica goes first, then the new one comes as a learner,
-    and the leader promotes it. The other order would count four voters
-    in place of three, with one of them gone and one empty: the next
-    failure would end all commits for good.
+    The former replica is removed first; then the new one is added as a
+    learner, and the leader promotes it. In the other order a group of
+    three would have four voters, one of them lost and one empty, and
+    the next failure would stop all commits for good.
 
     Parameters
     ----------
     membership : Membership
         The leader's membership.
     host_id, replica_id : str
-        The host and the identity of the disk it has now.
+        The host and the identity of its present disk.
+
+    Returns
+    -------
+    AddLearner, RemoveMember or None
+        None if the replica is a member already.
     """
     if membership.get(replica_id) is not None:
         return None
--- a/limpetroute/agreement/replica.py
+++ b/limpetroute/agreement/replica.py
@@ -21,7 +21,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a replica does at the moment."""
+    """Current role of a replica."""
 
     FOLLOWER = 'follower'
     PRE_CANDIDATE = 'pre_candidate'
@@ -34,7 +34,8 @@
     """One replica of one group, as a pure state machine.
 
     It opens no socket and no file and reads no clock: `step` takes an
-    event with the time and returns what to write, send and apply.
+    event with the time and returns the writes, messages and entries to
+    carry out, send and apply.
 
     Parameters
     ----------
@@ -43,11 +44,11 @@
     timings : Timings
         Timings of the group.
     saved : SavedState
-        What the disk holds.
+        State found on the disk.
     rng : random.Random
-        Seeded generator for the election times.
+        Seeded generator for the election timeouts.
     now_s : float
-        A clock that never goes back, of any origin.
+        Time of a monotonic clock with any origin.
     """
 
     def __init__(
@@ -73,9 +74,10 @@
         self.failure = ''
         self._rng = rng
         self._now_s = now_s
-        # A replica that restarts has forgotten when it last heard the
-        # leader. Voting at once, it could elect another leader while the
-        # first one's lease runs; so it waits as if it had just heard.
+        # A restart loses the time of the leader's last message. If the
+        # replica voted at once, it could help to elect another leader
+        # while the first leader's lease is valid. So it acts as if it
+        # had received a message at its start.
         self._last_leader_message_s = now_s
         self._election_due_s = 0.0
         self._heartbeat_due_s = 0.0
@@ -100,22 +102,29 @@
 
     @property
     def membership(self) -> membership_module.Membership:
-        """The newest membership this replica knows."""
+        """Newest membership in this replica's log."""
         return self.log.membership
 
     @property
     def synced_index(self) -> int:
-        """The last entry that is on this replica's own disk."""
+        """Index of the last entry that is on this replica's own disk."""
         return self._write_queue.synced_index
 
     def lease_valid(self, now_s: float) -> bool:
-        """Return whether no other leader can have been elected yet."""
+        """Return whether this replica leads with a valid lease.
+
+        While its lease is valid, no other leader can be elected.
+        """
         if self.role is not Role.LEADER:
             return False
         return now_s < self._quorum_round_s(now_s) + self.timings.lease_s
 
     def can_read(self, now_s: float) -> bool:
-        """Return whether the applied state holds all acknowledged."""
+        """Return whether a read of the applied state is linearizable.
+
+        True if this replica leads and has applied all acknowledged
+        entries.
+        """
         if not self.lease_valid(now_s):
             return False
         if self.log.term_at(self.commit_index) != self.term:
@@ -123,7 +132,11 @@
         return self.applied_index == self.commit_index
 
     def has_active_leader(self, now_s: float) -> bool:
-        """Return whether this replica leads, or hears a leader."""
+        """Return whether the group has a leader that is active.
+
+        True if this replica leads with a valid lease or received a
+        leader's message within the election timeout.
+        """
         if self.role is Role.LEADER:
             return self.lease_valid(now_s)
         if self.role is Role.FAILED or not self.leader_id:
@@ -131,7 +144,7 @@
         return now_s - self._last_leader_message_s < self.timings.election_s
 
     def match_index(self, replica_id: str) -> int | None:
-        """Return how far a member has come, if this replica leads."""
+        """Return the last entry on a member's disk, if this one leads."""
         if self.role is not Role.LEADER:
             return None
         if replica_id == self.replica_id:
@@ -139,7 +152,7 @@
         return self._replication.match_index(replica_id)
 
     def step(self, event: events.Event, now_s: float) -> effects.Effects:
-        """Take one event and return what it asks for."""
+        """Process one event and return its effects."""
         self._now_s = max(self._now_s, now_s)
         self._restored = None
         self._proposal = None
@@ -187,9 +200,9 @@
         quorum_s = self._quorum_round_s(self._now_s)
         last_contact_s = max(quorum_s, self._leader_since_s)
         if self._now_s - last_contact_s > self.timings.election_s:
-            # Check-quorum: a leader cut off from its quorum would go on
-            # taking proposals that never commit, and callers wait in
-            # vain; it shows as no answered round for an election time.
+            # Check-quorum: a leader that is partitioned from its quorum
+            # would accept proposals that never commit. It steps down if
+            # a quorum has answered no round for an election timeout.
             self._become_follower(self.term, leader_id='')
             return
         if self._now_s >= self._heartbeat_due_s:
@@ -203,11 +216,11 @@
     # Elections
 
     def _uses_pre_vote(self) -> bool:
-        """Return whether a pre-vote goes before an election.
+        """Return whether a pre-vote precedes an election.
 
-        A replica that was cut off would otherwise come back with a
-        higher term and depose a leader in good health; each return of a
-        host would stop commits for an election time.
+        Without pre-vote, a replica that was partitioned returns with a
+        higher term and deposes a healthy leader. Each return of a host
+        would stop commits for an election timeout.
         """
         return True
 
@@ -255,8 +268,8 @@
 
     def _become_follower(self, term: int, *, leader_id: str) -> None:
         if term > self.term:
-            # What was held rests on the older term: dropped, not sent
-            # late, as if the network had lost it.
+            # Held messages belong to the older term. They are dropped
+            # instead of sent late, as if the network had lost them.
             self._outbox.drop()
             self._set_vote(term, '')
         if self.role is not Role.FOLLOWER:
@@ -275,8 +288,9 @@
         self.leader_id = self.replica_id
         self._leader_since_s = self._now_s
         self._replication = self._new_replication()
-        # An entry of the own term commits all earlier ones with it; an
-        # older entry on a quorum alone may still be replaced.
+        # Committing an entry of the current term commits all earlier
+        # ones. An entry of an older term may still be replaced although
+        # a quorum has it.
         self._append_own(entry_module.EntryKind.NOOP, b'')
         self._broadcast()
 
@@ -298,11 +312,11 @@
                 self._on_reply(sender, message)
 
     def _is_stale(self, term: int) -> bool:
-        """Return whether a message comes from an earlier term.
+        """Return whether a message is of an earlier term.
 
-        A leader that was frozen or cut off sends on in its old term
-        after another was elected. Taken, its entries would replace
-        acknowledged ones.
+        A leader that was frozen or partitioned may go on sending in its
+        old term after another leader was elected. Its entries must not
+        replace acknowledged ones.
         """
         return term < self.term
 
@@ -336,7 +350,8 @@
             return
         if message.term > self.term:
             if self._leader_is_alive():
-                # The leader's lease rests on this silence.
+                # The leader's lease relies on voters ignoring vote
+                # requests while the leader is active.
                 return
             self._become_follower(message.term, leader_id='')
         granted = self.voted_for in (
@@ -444,8 +459,8 @@
         if first <= self.log.last_index:
             self.log.truncate(first)
             self._write_queue.truncate(first)
-        for one in entries:
-            self.log.append(one)
+        for entry in entries:
+            self.log.append(entry)
         self._write(effects.SaveEntries(entries=entries))
 
     def _take_snapshot(self, snapshot: snapshot_module.Snapshot) -> None:
@@ -483,21 +498,21 @@
         return ''
 
     def _append_own(self, kind: entry_module.EntryKind, data: bytes) -> None:
-        one = entry_module.Entry(
+        entry = entry_module.Entry(
             index=self.log.last_index + 1,
             term=self.term,
             kind=kind,
             data=data,
         )
-        self.log.append(one)
-        self._write(effects.SaveEntries(entries=(one,)))
+        self.log.append(entry)
+        self._write(effects.SaveEntries(entries=(entry,)))
 
     def _broadcast(self) -> None:
         self._heartbeat_due_s = self._now_s + self.timings.heartbeat_s
-        for one in self.membership.members:
-            if one.replica_id == self.replica_id:
+        for member in self.membership.members:
+            if member.replica_id == self.replica_id:
                 continue
-            self._send_log(one.replica_id)
+            self._send_log(member.replica_id)
 
     def _send_log(self, to: str) -> None:
         self._send(
@@ -530,7 +545,8 @@
         if self.log.term_at(quorum_index) != self.term:
             return
         self.commit_index = quorum_index
-        # Followers learn of it soon, not with the next full heartbeat.
+        # Followers are sent the commit index soon and not only with the
+        # next regular heartbeat.
         soon_s = self._now_s + self.timings.heartbeat_s / 8
         self._heartbeat_due_s = min(self._heartbeat_due_s, soon_s)
         self._promote_learners()
@@ -564,23 +580,24 @@
         refusal = self._propose_refusal()
         if refusal:
             return refusal
-        # One change at a time: quorums of two memberships that differ
-        # by two voters need not meet, and each could elect its leader.
+        # One change at a time: quorums of two memberships that differ by
+        # two voters need not overlap, and each could elect a leader.
         if self.log.membership_index > self.commit_index:
             return 'an earlier membership change is not committed'
-        # The entry of the own term shows that no change of an earlier
-        # leader, unknown here, can still win over this one.
+        # A committed entry of the current term ensures that no change
+        # of an earlier leader, missing in this log, can still replace
+        # this one.
         if self.log.term_at(self.commit_index) != self.term:
             return 'the leader is new'
         return ''
 
     def _remove_refusal(self, replica_id: str) -> str:
-        one = self.membership.get(replica_id)
-        if one is None:
+        member = self.membership.get(replica_id)
+        if member is None:
             return f'{replica_id!r} is not a member'
         if replica_id == self.replica_id:
             return 'the leader does not remove itself'
-        if not one.voter:
+        if not member.voter:
             return ''
         remaining = len(self.membership.voters) - 1
         if remaining < self.timings.min_voters:
@@ -603,22 +620,22 @@
     def _promote_learners(self) -> None:
         if self._change_refusal():
             return
-        for one in self.membership.members:
-            if one.voter or not self.has_caught_up(one.replica_id):
+        for member in self.membership.members:
+            if member.voter or not self.has_caught_up(member.replica_id):
                 continue
             if self._has_max_voters():
                 return
             proposal = self._proposal
-            self._change(self.membership.with_voter(one.replica_id))
+            self._change(self.membership.with_voter(member.replica_id))
             self._proposal = proposal
             return
 
     def has_caught_up(self, replica_id: str) -> bool:
-        """Return whether a learner holds all that is committed.
+        """Return whether a learner has all committed entries on disk.
 
-        Counted earlier, the repair would look done while one more
-        failure stops all commits until the whole state was copied; it
-        shows as a group of three that lost one host and stands still.
+        If a learner were promoted earlier, the repair of a group of
+        three that lost a host would look complete, but the next failure
+        would stop all commits until the whole state is copied.
         """
         if not self._answered_recently(replica_id):
             return False
@@ -637,11 +654,12 @@
             self._advance_commit()
 
     def _fail(self, reason: str) -> None:
-        """Step back for good.
+        """Stop taking part in the group for good.
 
-        After a failed write or sync, nobody knows what the disk holds;
-        a later sync may succeed without the lost pages. Nothing that
-        was not released is acknowledged, and the others elect a leader.
+        After a failed write or sync the contents of the disk are
+        unknown; a later sync may succeed without the lost pages. Held
+        messages are dropped, so no unsynced write is acknowledged, and
+        the other replicas elect a leader.
         """
         self.role = Role.FAILED
         self.failure = reason
@@ -652,9 +670,9 @@
     def _compact(self, event: events.Compact) -> None:
         if not self.log.base_index < event.index <= self.applied_index:
             return
-        # The state may be ahead of a disk that hangs. A snapshot of it
-        # would be ahead of the log below it, and a restart would find a
-        # hole between the two.
+        # While the disk stalls, the applied state may be ahead of the
+        # synced log. A snapshot of it would leave a gap between the log
+        # on disk and the snapshot after a restart.
         if event.index > self._write_queue.synced_index:
             return
         term = self.log.term_at(event.index)
@@ -716,8 +734,9 @@
         )
 
     def _take_committed(self) -> tuple[entry_module.Entry, ...]:
-        # What a majority has on its disks is kept, whether or not this
-        # disk has it: a leader whose own disk hangs goes on answering.
+        # Entries on the disks of a majority are durable whether or not
+        # they are on this disk, so a leader whose own disk stalls goes
+        # on answering.
         end = self.commit_index
         if end <= self.applied_index:
             return ()
--- a/limpetroute/agreement/replication.py
+++ b/limpetroute/agreement/replication.py
@@ -1,4 +1,4 @@
-"""What a leader knows of its members' logs, and what it sends them."""
+"""Log replication from a leader to the other members."""
 
 import math
 
@@ -11,7 +11,7 @@
 
 
 class Replication:
-    """What a leader knows of its members' logs, and what it sends them.
+    """Tracks the members' logs and chooses the messages to send them.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
         commit_index: int,
         now_s: float,
     ) -> messages.AppendRequest | messages.SnapshotRequest:
-        """Return what a member is to be sent next."""
+        """Return the next message to a member."""
         progress = self._progress.get(to)
         if progress is None:
             progress = progress_module.Progress(next_index=log.last_index)
@@ -56,8 +56,9 @@
                 return messages.SnapshotRequest(
                     term=self._term, snapshot=log.snapshot, round_s=now_s
                 )
-            # Until it is answered, an empty message keeps the replica
-            # from asking for an election; it is refused by its log.
+            # Until the snapshot is answered, an empty message keeps the
+            # replica from starting an election. The replica replies
+            # that its log does not match.
             first = log.last_index + 1
         else:
             first = progress.next_index
@@ -79,11 +80,11 @@
     def _bounded(
         self, entries: tuple[entry.Entry, ...]
     ) -> tuple[entry.Entry, ...]:
-        """Return the first entries, as many as one message may hold.
+        """Return the first entries, as many as fit into one message.
 
-        All that a member lacks, in one message, takes longer to send
-        than the link between the two waits for an answer; sent again
-        from the same place each time, the member never catches up.
+        A message with all missing entries could take longer to send
+        than the link's timeout. It would be sent again from the same
+        index each time, and the member would never catch up.
         """
         size = 0
         for position, item in enumerate(entries):
@@ -95,7 +96,13 @@
     def handle_reply(
         self, sender: str, reply: messages.AppendReply, log: log_module.Log
     ) -> bool:
-        """Take a member's reply; return whether it needs more at once."""
+        """Process a member's reply.
+
+        Returns
+        -------
+        bool
+            Whether to send the member more entries at once.
+        """
         progress = self._progress.get(sender)
         if progress is None:
             return False
@@ -111,19 +118,19 @@
         return progress.next_index <= log.last_index
 
     def match_index(self, replica_id: str) -> int:
-        """Return the last entry that a member has on disk."""
+        """Return the index of the last entry that a member has on disk."""
         progress = self._progress.get(replica_id)
         return 0 if progress is None else progress.match_index
 
     def last_answered_s(self, replica_id: str) -> float:
-        """Return when the newest answered message was sent."""
+        """Return the send time of the newest message it has answered."""
         progress = self._progress.get(replica_id)
         return -math.inf if progress is None else progress.acked_round_s
 
     def quorum_index(
         self, membership: membership_module.Membership, *, own_index: int
     ) -> int | None:
-        """Return the last entry that a quorum has on disk."""
+        """Return the index of the last entry that a quorum has on disk."""
         return membership.quorum_value(
             lambda voter: (
                 own_index
@@ -135,7 +142,7 @@
     def quorum_round_s(
         self, membership: membership_module.Membership, *, now_s: float
     ) -> float:
-        """Return the newest send time that a quorum has answered."""
+        """Return the send time of the newest round a quorum answered."""
         round_s = membership.quorum_value(
             lambda voter: (
                 now_s
--- a/limpetroute/agreement/saved_state.py
+++ b/limpetroute/agreement/saved_state.py
@@ -1,4 +1,4 @@
-"""What a replica finds on its disk at start."""
+"""Saved state that a replica loads at start."""
 
 import dataclasses
 
@@ -8,16 +8,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SavedState:
-    """What a replica finds on its disk at start.
+    """Saved state that a replica loads at start.
 
     Parameters
     ----------
     term : int
-        Highest term it has taken part in.
+        Highest term that the replica has seen.
     voted_for : str
-        Whom it voted for in that term, or nothing.
+        Replica it voted for in that term, or the empty string.
     snapshot : Snapshot
-        Newest snapshot; a founding membership is a snapshot at 0.
+        Newest snapshot; the initial membership is a snapshot at 0.
     entries : tuple of Entry
         The log after the snapshot.
     """
--- a/limpetroute/agreement/snapshot.py
+++ b/limpetroute/agreement/snapshot.py
@@ -1,4 +1,4 @@
-"""State at one place of the log."""
+"""Snapshot of the state at one index of the log."""
 
 import dataclasses
 
@@ -7,12 +7,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Snapshot:
-    """State at one place of the log, in place of all before it.
+    """State at one index of the log; it replaces all entries up to it.
 
     Parameters
     ----------
     last_index, last_term : int
-        The last entry it stands for; 0 for a group just founded.
+        Index and term of the last entry it covers; 0 in a new group.
     membership : Membership
         The replicas as of that entry.
     data : bytes
--- a/limpetroute/agreement/timings.py
+++ b/limpetroute/agreement/timings.py
@@ -1,4 +1,4 @@
-"""Timings of a group."""
+"""Timings and limits of a group."""
 
 import dataclasses
 
@@ -12,22 +12,24 @@
     heartbeat_s : float
         Time between a leader's messages to each member.
     election_s : float
-        Silence after which a replica may ask for an election; it waits
-        between one and two of these, so that few ask at once.
+        Election timeout: time without a message from the leader after
+        which a replica may start an election. Each replica waits a
+        random time between one and two timeouts, so that few start an
+        election at once.
     drift : float
-        Largest relative error of a clock's rate.
+        Greatest relative error of a clock's rate.
     max_append_entries : int
-        Entries in one message.
+        Greatest number of entries in one message.
     max_append_bytes : int
-        Bytes of entries in one message, but for a first one that is
-        larger by itself.
+        Greatest size of the entries in one message; a single larger
+        entry is sent alone.
     snapshot_timeout_s : float
         Time after which an unanswered snapshot is sent again.
     min_voters : int
-        A removal never leaves fewer voters than this.
+        Least number of voters that a removal may leave.
     max_voters : int or None
-        Learners beyond this many voters stay learners, ready to take a
-        voter's place; None for no bound.
+        Number of voters from which on learners are not promoted, but
+        stay ready to replace a voter; None for no limit.
     """
 
     heartbeat_s: float = 0.25
@@ -50,10 +52,10 @@
 
     @property
     def lease_s(self) -> float:
-        """Time for which a quorum's answer keeps a leader in office.
+        """Duration of a leader's lease after a quorum's answer.
 
-        Voters refuse to elect another leader for ``election_s`` on
-        their clocks. A clock of theirs may run fast and the leader's
-        slow, each by ``drift``: the lease is shorter by both.
+        Voters do not elect another leader for ``election_s`` on their
+        clocks. A voter's clock may run fast and the leader's slow, each
+        by ``drift``, so the lease is shorter by both.
         """
         return self.election_s * (1 - 2 * self.drift)
--- a/limpetroute/agreement/write_queue.py
+++ b/limpetroute/agreement/write_queue.py
@@ -1,15 +1,15 @@
-"""Which part of the log is on disk."""
+"""Tracks which part of the log is on disk."""
 
 import collections
 
 
 class WriteQueue:
-    """Follows writes until they are synced.
+    """Tracks writes until they are synced.
 
     Parameters
     ----------
     last_index : int
-        Last entry found on disk at start.
+        Index of the last entry on disk at start.
     """
 
     __slots__ = ('_pending', 'issued', 'synced', 'synced_index')
@@ -27,17 +27,17 @@
         )
 
     def issue(self) -> None:
-        """Count one more write."""
+        """Count a new write."""
         self.issued += 1
 
     def record_log_end(self, last_index: int) -> None:
-        """Note where the log ends after the newest write."""
+        """Record the log's last index after the newest write."""
         self._pending.append((self.issued, last_index))
 
     def truncate(self, index: int) -> None:
-        """Note that the log was cut before ``index``.
+        """Record that the log was truncated at ``index``.
 
-        A sync of an earlier write must not count entries that a newer
+        The sync of an earlier write must not count entries that a newer
         leader has replaced since.
         """
         last = index - 1
@@ -47,7 +47,7 @@
         )
 
     def mark_synced(self, write_id: int) -> None:
-        """Note that writes up to ``write_id`` are synced."""
+        """Record that all writes up to ``write_id`` are synced."""
         self.synced = max(self.synced, write_id)
         while self._pending and self._pending[0][0] <= write_id:
             self.synced_index = self._pending.popleft()[1]
--- a/limpetroute/decisions/fair_queue.py
+++ b/limpetroute/decisions/fair_queue.py
@@ -372,13 +372,14 @@
         `OVER_SHARE_FACTOR` times the mean cost of a queued request.
         """
         lane = self._long if long and self._lanes else self._short
-        known = lane.teams.get(team)
-        if known is None or not self._items:
+        team_queue = lane.teams.get(team)
+        if team_queue is None or not self._items:
             return False
-        lead_s = max(0.0, known.finish_time - lane.virtual_time)
+        lead_s = max(0.0, team_queue.finish_time - lane.virtual_time)
         mean_s = self.backlog_s / len(self._items)
         return (
-            known.backlog_s / known.share + lead_s > OVER_SHARE_FACTOR * mean_s
+            team_queue.backlog_s / team_queue.share + lead_s
+            > OVER_SHARE_FACTOR * mean_s
         )
 
     def cost_ahead_s(self, team: str, *, long: bool) -> float:
@@ -391,11 +392,13 @@
         total = self.backlog_s
         if not long:
             total -= self.long_backlog_s
-        known = lane.teams.get(team)
-        own_s = known.backlog_s if known else 0.0
-        share = known.share if known else 1.0
+        team_queue = lane.teams.get(team)
+        own_s = team_queue.backlog_s if team_queue else 0.0
+        share = team_queue.share if team_queue else 1.0
         lead_s = (
-            max(0.0, known.finish_time - lane.virtual_time) if known else 0.0
+            max(0.0, team_queue.finish_time - lane.virtual_time)
+            if team_queue
+            else 0.0
         )
         active = lane.active_teams + (not own_s)
         mean_s = self.backlog_s / max(1, len(self._items))
--- a/limpetroute/decisions/full_policy.py
+++ b/limpetroute/decisions/full_policy.py
@@ -278,8 +278,10 @@
             return
         self._release_decode(job)
         if state is not None:
-            held = len(state.reservations)
-            state.foreign_slots = max(0, state.facts.slots - held - free_slots)
+            reserved_slots = len(state.reservations)
+            state.foreign_slots = max(
+                0, state.facts.slots - reserved_slots - free_slots
+            )
             self._pause(state, now_s + DENIED_PAUSE_S)
             self._fleet.reorder(state)
         if job.phase is Phase.PREFILL:
@@ -303,11 +305,11 @@
         if job is None or job.phase is Phase.OVER:
             return
         was_decode = runner_id == job.decode_id
-        failing = self._fleet.runners.get(runner_id)
-        if failing is not None:
-            self._pause(failing, now_s + DENIED_PAUSE_S)
+        failed_runner = self._fleet.runners.get(runner_id)
+        if failed_runner is not None:
+            self._pause(failed_runner, now_s + DENIED_PAUSE_S)
             if self._config.uses(Decision.EJECTION):
-                self._ejection.record_failure(failing, now_s)
+                self._ejection.record_failure(failed_runner, now_s)
         self._release_all(job)
         # If the transfer of one result fails to a second runner, the
         # result is at fault and not the runner: the prompt is prefilled
@@ -351,9 +353,9 @@
                 self._serve_awaiting(model, now_s)
             for model in models:
                 self._dispatch(model, now_s)
-        out = self._actions
+        actions = self._actions
         self._actions = []
-        return out
+        return actions
 
     def wake_s(self) -> float | None:
         """Return the earliest deadline, end of a pause or ejection."""
@@ -416,10 +418,10 @@
             False if the request was rejected.
         """
         model = job.item.model
-        example = self._forecast.freest_decode_runner(model)
+        decode_runner = self._forecast.freest_decode_runner(model)
         prefills = self._fleet.count(runner_facts.Role.PREFILL, model)
         state = self._model(model)
-        if example is None or not prefills:
+        if decode_runner is None or not prefills:
             if state.no_runners_since_s is None:
                 state.no_runners_since_s = now_s
             if now_s - state.no_runners_since_s <= NO_RUNNER_GRACE_S:
@@ -427,8 +429,10 @@
             self._give_up(job, action.Reason.NO_RUNNER, NO_RUNNER_RETRY_S)
             return False
         state.no_runners_since_s = None
-        need = forecast_module.kv_bytes_needed(job.item, example.facts)
-        if need > example.facts.kv_capacity_bytes:
+        needed_bytes = forecast_module.kv_bytes_needed(
+            job.item, decode_runner.facts
+        )
+        if needed_bytes > decode_runner.facts.kv_capacity_bytes:
             self._give_up(job, action.Reason.TOO_LONG, TOO_LONG_RETRY_S)
             return False
         return True
@@ -496,10 +500,10 @@
             if self._fleet.count(role, model) > 1:
                 if state.short_lane.would_block(prefill_s, now_s):
                     excluded_id = self._fleet.lowest_id(role, model)
-        cached = self._config.uses(Decision.CACHE_PLACEMENT)
+        uses_cache = self._config.uses(Decision.CACHE_PLACEMENT)
         return prefill_placement.choose(
             fleet=self._fleet,
-            index=self._prefix_index if cached else None,
+            index=self._prefix_index if uses_cache else None,
             predictor=self._predictor,
             item=job.item,
             tokens=job.prefill_tokens,
@@ -509,10 +513,10 @@
         )
 
     def _kv_bytes(self, job: job_module.Job) -> int:
-        example = self._forecast.freest_decode_runner(job.item.model)
-        if example is None:
+        decode_runner = self._forecast.freest_decode_runner(job.item.model)
+        if decode_runner is None:
             return 0
-        return forecast_module.kv_bytes_needed(job.item, example.facts)
+        return forecast_module.kv_bytes_needed(job.item, decode_runner.facts)
 
     def _has_decode_slot(
         self,
@@ -571,13 +575,13 @@
         back that they would miss it.
         """
         for _ in range(MAX_SHED):
-            victim = state.queue.newest_of_heaviest_team()
-            if victim is None:
+            candidate = state.queue.newest_of_heaviest_team()
+            if candidate is None:
                 return
-            job = self._jobs[victim.work_id]
-            ahead_s = state.queue.backlog_s - victim.cost_s
+            job = self._jobs[candidate.work_id]
+            ahead_s = state.queue.backlog_s - candidate.cost_s
             wait_s = ahead_s / state.drain_rate.value
-            bias = state.bias(long=victim.long, over_share=job.over_share)
+            bias = state.bias(long=candidate.long, over_share=job.over_share)
             end_s = now_s + bias.corrected_wait_s(wait_s) + job.service_s
             if end_s <= job.limit_s or job.delivered_tokens:
                 return
@@ -763,10 +767,10 @@
         the prefill work was wasted in the bench at 1.2 times the
         capacity. The key is the set of models of a decode runner.
         """
-        example = self._forecast.freest_decode_runner(job.item.model)
-        if example is None:
+        decode_runner = self._forecast.freest_decode_runner(job.item.model)
+        if decode_runner is None:
             return frozenset({job.item.model})
-        return example.facts.models
+        return decode_runner.facts.models
 
     def _count_unreserved(self, job: job_module.Job) -> None:
         if job.unreserved_pool is None:
@@ -848,20 +852,20 @@
         cached_tokens: int,
         now_s: float,
     ) -> None:
-        read = max(1, job.prefill_tokens - cached_tokens)
+        uncached_tokens = max(1, job.prefill_tokens - cached_tokens)
         took_s = now_s - job.prefill_sent_s
         # A prefill that waited behind other work of this host is no
         # sample of the runner's speed: the time to subtract for that
         # work is an estimate and may be too high.
         is_sample = job.own_work_ahead_s == 0.0
         if is_sample:
-            self._predictor.record_prefill(runner_id, read, took_s)
+            self._predictor.record_prefill(runner_id, uncached_tokens, took_s)
         self._prefix_index.record_accuracy(job.expected_cached, cached_tokens)
         self._prefix_index.add(runner_id, job.item.prefix_blocks, now_s)
         state = self._fleet.runners.get(runner_id)
         if state is None or not is_sample:
             return
-        expected_s = self._predictor.prefill_s(runner_id, read)
+        expected_s = self._predictor.prefill_s(runner_id, uncached_tokens)
         if took_s > 1.5 * expected_s:
             self._evaluate_ejection(state, now_s)
 
--- a/limpetroute/decisions/prefill_placement.py
+++ b/limpetroute/decisions/prefill_placement.py
@@ -79,11 +79,11 @@
     states = list(fleet.least_loaded(role, item.model, CANDIDATES))
     holders = index.holders(item.prefix_blocks) if index else []
     for runner_id in holders:
-        held = fleet.runners.get(runner_id)
-        if held is None or held in states or not held.usable:
+        holder = fleet.runners.get(runner_id)
+        if holder is None or holder in states or not holder.usable:
             continue
-        if item.model in held.facts.models and held.facts.role is role:
-            states.append(held)
+        if item.model in holder.facts.models and holder.facts.role is role:
+            states.append(holder)
     for state in states:
         if state.runner_id == excluded_id or state.paused_until_s > now_s:
             continue
--- a/limpetroute/decisions/prefix_index.py
+++ b/limpetroute/decisions/prefix_index.py
@@ -36,23 +36,25 @@
         self, runner_id: str, blocks: typing.Iterable[int], now_s: float
     ) -> None:
         """Add blocks that a runner has cached."""
-        held = self._by_runner.setdefault(runner_id, collections.OrderedDict())
+        cached = self._by_runner.setdefault(
+            runner_id, collections.OrderedDict()
+        )
         for block in blocks:
-            held[block] = None
-            held.move_to_end(block)
+            cached[block] = None
+            cached.move_to_end(block)
             self._by_block.setdefault(block, {})[runner_id] = now_s
-        while len(held) > MAX_BLOCKS_PER_RUNNER:
-            block, _ = held.popitem(last=False)
+        while len(cached) > MAX_BLOCKS_PER_RUNNER:
+            block, _ = cached.popitem(last=False)
             self._drop(runner_id, block)
 
     def remove(self, runner_id: str, blocks: typing.Iterable[int]) -> None:
         """Remove blocks that a runner has evicted."""
-        held = self._by_runner.get(runner_id)
-        if held is None:
+        cached = self._by_runner.get(runner_id)
+        if cached is None:
             return
         for block in blocks:
-            if block in held:
-                del held[block]
+            if block in cached:
+                del cached[block]
                 self._drop(runner_id, block)
 
     def remove_runner(self, runner_id: str) -> None:
--- a/limpetroute/decisions/round_robin.py
+++ b/limpetroute/decisions/round_robin.py
@@ -35,11 +35,11 @@
     """
 
     __slots__ = (
+        '_actions',
         '_decodes_in_use',
         '_denied_until_s',
         '_entries',
         '_last_choice',
-        '_out',
         '_queue',
         '_runners',
     )
@@ -50,7 +50,7 @@
         self._queue: collections.deque[str] = collections.deque()
         self._decodes_in_use: collections.Counter[str] = collections.Counter()
         self._denied_until_s: dict[str, float] = {}
-        self._out: list[action.Action] = []
+        self._actions: list[action.Action] = []
         self._last_choice = 0
 
     def configure(
@@ -91,7 +91,7 @@
         entry = self._entries.get(work_id)
         if entry is None or entry.decode_id is None:
             return
-        self._out.append(
+        self._actions.append(
             action.StartDecode(
                 work_id=work_id,
                 runner_id=entry.decode_id,
@@ -160,9 +160,9 @@
                 continue
             if not self._start(entry):
                 self._queue.append(work_id)
-        out = self._out
-        self._out = []
-        return out
+        actions = self._actions
+        self._actions = []
+        return actions
 
     def wake_s(self) -> float | None:
         """Return the first deadline of the queued requests."""
@@ -185,7 +185,7 @@
         entry.prefill_id = prefill.runner_id
         entry.decode_id = decode.runner_id
         self._decodes_in_use[decode.runner_id] += 1
-        self._out.append(
+        self._actions.append(
             action.StartPrefill(
                 work_id=entry.item.work_id,
                 runner_id=prefill.runner_id,
@@ -234,7 +234,7 @@
         entry.prefill_id = None
 
     def _give_up(self, work_id: str, reason: action.Reason) -> None:
-        self._out.append(
+        self._actions.append(
             action.GiveUp(
                 work_id=work_id,
                 reason=reason,
--- a/limpetroute/decisions/transfer_budget.py
+++ b/limpetroute/decisions/transfer_budget.py
@@ -104,8 +104,8 @@
         self._end(work_id)
 
     def _rate(self, link: Link) -> float:
-        known = self._rates.get(link)
-        return known.value if known else PRIOR_BYTES_PER_S
+        rate = self._rates.get(link)
+        return rate.value if rate else PRIOR_BYTES_PER_S
 
     def _end(self, work_id: str) -> _Transfer | None:
         transfer = self._transfers.pop(work_id, None)
