--- a/tests/agreement/cluster.py
+++ b/tests/agreement/cluster.py
@@ -1,4 +1,4 @@
-"""Replicas, disks, clocks and a network of one test, all in one loop."""
+"""Simulated cluster: replicas, disks, clocks and a network in one loop."""
 
 import dataclasses
 import json
@@ -9,9 +9,9 @@
 from limpetroute.agreement import messages
 
 MICRO_STEP_S = 0.1
-# A snapshot is large and its link is slow.
+# Time to send a snapshot, which is large, over a slow link.
 SNAPSHOT_S = 1.2
-# How late a message may come that went a long way round.
+# Greatest delay of the extra copy of a message.
 STRAY_STEPS = 60
 TIMINGS = agreement.Timings(
     heartbeat_s=0.2, election_s=1.0, drift=0.05, snapshot_timeout_s=3.0
@@ -19,7 +19,7 @@
 
 
 class App:
-    """Manifests and claims, the smallest state that shows a fault."""
+    """State machine of manifests and claims, small but able to show faults."""
 
     def __init__(self, data=b''):
         state = json.loads(data) if data else {'m': [0, ''], 'c': {}}
@@ -40,7 +40,7 @@
 
 
 class Disk:
-    """What is synced, and what a crash may still take."""
+    """Simulated disk with synced state and pending writes."""
 
     def __init__(self, saved):
         self.saved = saved
@@ -56,10 +56,10 @@
         return last
 
     def crash(self, kept):
-        """Lose unsynced writes but for the first ``kept``.
+        """Lose all unsynced writes except the first ``kept``.
 
-        A torn write is a batch that did not get there whole: the disk
-        layer cuts it, so it is the first of the batches lost.
+        The disk layer discards a torn write, that is a batch that was
+        written in part, so such a batch counts as lost.
         """
         self.sync(kept)
         self.pending.clear()
@@ -103,14 +103,14 @@
 class Cluster:
     """Drives replicas and checks them against an oracle.
 
-    The oracle is plain dicts: ``chosen`` (entry by index), ``acked``
-    (command by index), ``claims`` and ``manifests`` (winner by name).
+    The oracle consists of dicts: ``chosen`` (entry by index), ``acked``
+    (term by index), ``claims`` and ``manifests`` (winner by name).
     """
 
     replica_type = agreement.Replica
     syncs_before_ack = True
     renames_lost_disk = True
-    # Hosts that found the group; None for all of them.
+    # Number of hosts that bootstrap the group; None for all of them.
     bootstrap_count = None
 
     def __init__(self, size, seed):
@@ -120,7 +120,7 @@
         self.timings = dataclasses.replace(TIMINGS, min_voters=size // 2 + 1)
         self.in_flight = []
         self.blocked = set()
-        # Hosts whose disks answer nothing for now.
+        # Hosts whose disks complete no write at present.
         self.stalled = set()
         self.loss_rate = 0.0
         self.duplicate_rate = 0.0
@@ -191,7 +191,7 @@
         node.disk = Disk(agreement.SavedState())
 
     def may_lose_disk(self, host):
-        """Whether this loss is one that the design claims to survive."""
+        """Whether the group must survive the loss of this disk."""
         leader = self.leader()
         if leader is None:
             return False
@@ -203,16 +203,21 @@
             v
             for v in voters
             if v in self.lost_replica_ids
-            and (self.renames_lost_disk or not self._whole(replica, v))
+            and (
+                self.renames_lost_disk or not self._has_all_commits(replica, v)
+            )
         ]
         if self.nodes[host].replica_id not in voters:
             return True
         return len(lost) + 1 <= len(voters) - replica.membership.quorum
 
-    def _all_whole(self, replica):
-        return all(self._whole(replica, v) for v in replica.membership.voters)
+    def _all_have_all_commits(self, replica):
+        return all(
+            self._has_all_commits(replica, v)
+            for v in replica.membership.voters
+        )
 
-    def _whole(self, replica, voter):
+    def _has_all_commits(self, replica, voter):
         match = replica.match_index(voter)
         return match is not None and match >= replica.commit_index
 
@@ -226,7 +231,7 @@
         return 1000.0 + self.now_s * node.rate
 
     def leader(self):
-        """The node that may answer for the group, if there is one."""
+        """Return the node that may answer reads, if there is one."""
         for node in self.running():
             if node.replica.can_read(self.clock(node)):
                 return node
@@ -289,7 +294,7 @@
         self.step(node, event)
 
     def end_faults(self):
-        """End all faults, as operators do, and leave it some time."""
+        """End all faults and run until the group is whole again."""
         self.blocked.clear()
         self.stalled.clear()
         self.loss_rate = self.duplicate_rate = self.stray_rate = 0.0
@@ -306,20 +311,22 @@
         for _ in range(60):
             self.run(3)
             leader = self.leader()
-            if leader is not None and self.is_whole(leader):
+            if leader is not None and self.is_fully_repaired(leader):
                 return leader
         raise AssertionError('no leader with all replicas after the faults')
 
     def is_repaired(self, leader):
-        """Whether every host's replica counts, as status would say."""
+        """Whether every host's replica is a voter, as status shows it."""
         replica = leader.replica
         ids = {node.replica_id for node in self.nodes.values()}
         if replica.log.membership_index > replica.commit_index:
             return False
         return set(replica.membership.voters) == ids
 
-    def is_whole(self, leader):
-        return self.is_repaired(leader) and self._all_whole(leader.replica)
+    def is_fully_repaired(self, leader):
+        return self.is_repaired(leader) and self._all_have_all_commits(
+            leader.replica
+        )
 
     def _deliver(self):
         due = [item for item in self.in_flight if item[0] <= self.now_s]
--- a/tests/agreement/seed_cluster.py
+++ b/tests/agreement/seed_cluster.py
@@ -1,4 +1,4 @@
-"""A group that three of five hosts found, and that mends itself."""
+"""Cluster that three of five hosts bootstrap and that repairs itself."""
 
 import dataclasses
 
@@ -30,11 +30,11 @@
         )
 
     def replace_host(self, host):
-        """A host is gone; an empty one comes at another address."""
+        """Remove a host for good and add an empty one with a new name."""
         self.crash(host, 0)
         gone = self.nodes.pop(host)
         self.lost_replica_ids.add(gone.replica_id)
-        number = max(int(one[1:]) for one in self.nodes) + 1
+        number = max(int(member[1:]) for member in self.nodes) + 1
         new = f'c{max(number, self.size) + len(self.lost_replica_ids)}'
         self.nodes[new] = cluster.Node(
             new, f'{new}.0', agreement.SavedState(), 1.0
@@ -43,9 +43,9 @@
         return new
 
     def _deliver(self):
-        # What is on its way to a host that is gone reaches nobody.
+        # Messages in flight to a removed host are lost.
         self.in_flight = [
-            one for one in self.in_flight if one[1] in self.nodes
+            member for member in self.in_flight if member[1] in self.nodes
         ]
         super()._deliver()
 
--- a/tests/agreement/test_fuzz.py
+++ b/tests/agreement/test_fuzz.py
@@ -10,7 +10,7 @@
 
 
 class ReplicaMachine(stateful.RuleBasedStateMachine):
-    """Faults in any order, against the cluster's oracle of dicts."""
+    """Injects faults in any order and checks the cluster's oracle."""
 
     size = 3
     cluster_type = cluster_module.Cluster
@@ -90,7 +90,7 @@
         strays=st.sampled_from([0.0, 0.5]), count=st.integers(10, 25)
     )
     def isolate_leader_under_load(self, strays, count):
-        """A leader is cut off with proposals on their way."""
+        """Partition the leader while proposals are in flight."""
         self.host(0)
         leader = self.cluster.leader()
         if leader is None:
@@ -143,7 +143,7 @@
 
     @stateful.rule(number=HOSTS, count=st.integers(100, 200))
     def miss_hundreds(self, number, count):
-        """A replica is away for hundreds of changes and comes back."""
+        """Stop a replica, commit hundreds of changes, and restart it."""
         host = self.host(number)
         self.cluster.crash(host, 0)
         for place in range(count):
@@ -159,7 +159,7 @@
 
     @stateful.rule(number=HOSTS)
     def second_failure_right_after_repair(self, number):
-        """A disk is lost and replaced; at that moment a host dies."""
+        """Lose and replace a disk; crash another host right after that."""
         host = self.host(number)
         leader = self.cluster.end_faults()
         if leader.host_id == host:
@@ -188,7 +188,7 @@
 
     @stateful.rule(number=HOSTS)
     def repair_all_then_lose_next(self, number):
-        """Disks are lost one after the other, each repaired before."""
+        """Lose two disks, the second after the first was repaired."""
         host = self.host(number)
         for other in (host, f'c{(number + 1) % self.size}'):
             self.cluster.run(20)
@@ -198,7 +198,7 @@
 
     @stateful.rule(number=HOSTS)
     def calm_then_return(self, number):
-        """All is well again, and a host that was cut off comes back."""
+        """End all faults; a host that was partitioned then returns."""
         host = self.host(number)
         leader = self.cluster.end_faults()
         self.cluster.check_reads()
@@ -241,14 +241,14 @@
     )
 
 
-def test_three_replicas_keep_their_word():
+def test_three_replicas_keep_acknowledged_changes():
     ReplicaMachine.rules_run = 0
     stateful.run_state_machine_as_test(ReplicaMachine, settings=_settings(260))
     print(f'3 replicas: {ReplicaMachine.rules_run} rule steps')
     assert ReplicaMachine.rules_run >= 12000, ReplicaMachine.rules_run
 
 
-def test_five_replicas_keep_their_word():
+def test_five_replicas_keep_acknowledged_changes():
     FiveReplicaMachine.rules_run = 0
     stateful.run_state_machine_as_test(
         FiveReplicaMachine, settings=_settings(170)
--- a/tests/agreement/test_mutants.py
+++ b/tests/agreement/test_mutants.py
@@ -1,6 +1,7 @@
-"""The state machine test can fail: each guard taken out is caught.
+"""Checks that the state machine test fails for each removed guard.
 
-The guards are taken out by subclasses here; the product has no switch.
+Subclasses in this module remove the guards; the product has no switch
+for it.
 """
 
 import hypothesis
@@ -59,7 +60,7 @@
 
 
 def run_until_caught(cluster, size, max_examples=MAX_EXAMPLES):
-    """Return examples and rule steps until the fault shows, and how."""
+    """Return examples, rule steps and message when the fault is found."""
 
     class Machine(test_fuzz.ReplicaMachine):
         cluster_type = cluster
--- a/tests/agreement/test_power_and_disks.py
+++ b/tests/agreement/test_power_and_disks.py
@@ -6,7 +6,7 @@
 from tests.agreement import cluster as cluster_module
 
 HOSTS = [f'c{place}' for place in range(5)]
-# Rounds within which a change is acknowledged, and a group recovers.
+# Rounds within which a change must be acknowledged or a group recover.
 ACK_ROUNDS = 60
 RECOVERY_ROUNDS = 300
 
@@ -16,10 +16,10 @@
 
 
 def acknowledged_cluster(seed):
-    """Return a group that has acknowledged a change a moment ago.
+    """Return a cluster that has just acknowledged a change.
 
-    Disks are slow by turns, so no more of them have the change than the
-    leader waited for.
+    Disks sync with random delays, so only the disks that the leader
+    waited for have the change.
     """
     cluster = cluster_module.Cluster(5, seed=seed)
     cluster.run(25)
@@ -32,8 +32,8 @@
     raise AssertionError('never acknowledged')
 
 
-# Guards against a change that was acknowledged and is gone when two disks
-# are lost and all other hosts lose power in that moment.
+# Guards against the loss of an acknowledged change when two disks are lost
+# and all other hosts lose power at the same time.
 @pytest.mark.parametrize('lost', list(itertools.combinations(HOSTS, 2)))
 def test_what_was_acknowledged_outlives_two_disks_and_all_power(lost):
     for seed in range(6):
@@ -55,9 +55,9 @@
         assert leader.app.claims == {'last': 'clerk'}
 
 
-# Guards against a test that finds nothing: acknowledged before it is synced,
-# the same change is lost.
-def test_acknowledged_before_it_is_synced_it_would_be_lost():
+# Checks that the test above can fail: a change that is acknowledged before
+# it is synced is lost.
+def test_change_acknowledged_before_its_sync_is_lost():
     class Unsynced(cluster_module.Cluster):
         syncs_before_ack = False
 
--- a/tests/agreement/test_stalled_disk.py
+++ b/tests/agreement/test_stalled_disk.py
@@ -1,4 +1,4 @@
-"""A leader whose disk answers nothing for some seconds."""
+"""A leader whose disk stalls for some seconds."""
 
 import json
 
@@ -16,11 +16,12 @@
 
 
 def test_a_leader_with_a_stalled_disk_still_acknowledges():
-    """The leading host's disk hangs while operators change routes.
+    """Commits need a majority of the disks, not the leader's own.
 
-    Three other hosts have the change on their disks, so it is kept for
-    good. The leader held its answer back until its own disk came round:
-    the operator, and each runner that said it leaves, heard nothing.
+    A change on the disks of three other hosts is durable. The leader
+    used to delay its answer until its own disk had recovered, so that
+    operators who changed routes and runners that announced their
+    departure got no answer.
     """
     cluster, leader = _led_cluster()
     cluster.stalled.add(leader.host_id)
@@ -30,8 +31,8 @@
     assert cluster.leader() is leader
 
 
-def test_what_it_acknowledged_outlives_its_power():
-    """The stalled host loses power, and with it what was not synced."""
+def test_acknowledged_change_survives_the_leaders_power_loss():
+    """The stalled host loses power and with it its unsynced writes."""
     cluster, leader = _led_cluster()
     cluster.stalled.add(leader.host_id)
     cluster.propose(leader.host_id, _claim('a').encode())
@@ -50,10 +51,10 @@
 
 
 def test_a_snapshot_never_goes_beyond_the_synced_log():
-    """The state is ahead of its own disk while that hangs.
+    """While the disk stalls, the applied state is ahead of it.
 
-    A snapshot taken then would say more than the log below it, and its
-    restart would find a hole between the two.
+    A snapshot taken then would leave a gap between the log on disk and
+    the snapshot after a restart.
     """
     cluster, leader = _led_cluster()
     cluster.stalled.add(leader.host_id)
--- a/tests/agreement/test_turnover.py
+++ b/tests/agreement/test_turnover.py
@@ -1,8 +1,8 @@
-"""Founding by seeds and automatic replacement, under faults.
+"""Bootstrap by seeds and automatic replacement of hosts, under faults.
 
-An operator sees a configuration acknowledged, then two disks are lost,
-hosts are replaced one after the other, links go one way; and what was
-acknowledged must be there, with one leader at a time.
+Disks are lost, hosts are replaced one after the other and links fail in
+one direction. Acknowledged changes must be kept, with one leader at a
+time.
 """
 
 import hypothesis
@@ -27,7 +27,7 @@
 
     @stateful.rule(number=HOSTS)
     def replace_host(self, number):
-        """A host is removed for good after the group was whole."""
+        """Remove a host for good once the group is whole."""
         leader = self.cluster.end_faults()
         host = self.host(number)
         acked = dict(self.cluster.acked)
@@ -42,7 +42,7 @@
         for index in acked:
             assert index <= leader.replica.commit_index
 
-    # These two name hosts by their number at the start.
+    # These rules use the names that the hosts have at the start.
     second_failure_right_after_repair = None
     repair_all_then_lose_next = None
     cut_one_way = None
@@ -78,22 +78,22 @@
 
 
 class HastyReconciler(membership_reconciler.MembershipReconciler):
-    """Removes silent voters whether or not another can take the place."""
+    """Removes silent voters even if no learner can replace them."""
 
     def _silent_member(self, replica, wanted_voters, now_s):
-        for one in replica.membership.members:
-            if one.replica_id == replica.replica_id:
+        for member in replica.membership.members:
+            if member.replica_id == replica.replica_id:
                 continue
             if (
-                now_s - self._last_seen_s[one.replica_id]
+                now_s - self._last_seen_s[member.replica_id]
                 > self._replace_after_s
             ):
-                return one.replica_id
+                return member.replica_id
         return None
 
 
 def test_removal_without_a_successor_is_caught():
-    """The guard taken out: two silent hosts leave a group of three."""
+    """Without the guard, two silent hosts leave a group of three."""
     cluster = repaired_cluster(1)
     for host in cluster.nodes:
         cluster.reconcilers[host] = HastyReconciler(
--- a/tests/decisions/test_parts.py
+++ b/tests/decisions/test_parts.py
@@ -24,7 +24,7 @@
     )
 
 
-def drain(queue):
+def take_all(queue):
     order = []
     while len(queue):
         head = queue.heads()[0]
@@ -50,12 +50,12 @@
 @hypothesis.given(
     st.lists(st.tuples(st.sampled_from('abc'), st.booleans()), max_size=30)
 )
-def test_equal_work_of_a_team_keeps_its_order(made):
+def test_requests_of_a_team_and_lane_keep_their_order(requests):
     queue = fair_queue.FairQueue(shares={})
-    for number, (team, long) in enumerate(made):
+    for number, (team, long) in enumerate(requests):
         queue.add(queued(number, team=team, long=long))
-    order = drain(queue)
-    assert len(order) == len(made)
+    order = take_all(queue)
+    assert len(order) == len(requests)
     for key in {(item.team, item.long) for item in order}:
         numbers = [
             int(item.work_id[1:])
@@ -84,25 +84,25 @@
         queue.add(held[work_id])
     assert len(queue) == len(held)
     assert queue.backlog_s == pytest.approx(len(held))
-    assert {item.work_id for item in drain(queue)} == set(held)
+    assert {item.work_id for item in take_all(queue)} == set(held)
 
 
-def test_heavy_team_waits_for_its_own():
-    # One team sends fifty requests, then another sends one. Without
-    # turns by team the second would wait for all fifty.
+def test_light_team_does_not_wait_for_a_heavy_team():
+    # One team sends fifty requests, then another team sends one. Without
+    # fair queueing the last request would wait for all fifty.
     queue = fair_queue.FairQueue(shares={})
     for number in range(50):
         queue.add(queued(number, team='heavy'))
     queue.add(queued(50, team='light'))
-    places = [item.team for item in drain(queue)]
-    assert places.index('light') <= 1
+    teams = [item.team for item in take_all(queue)]
+    assert teams.index('light') <= 1
 
 
-def test_shares_divide_the_turns():
+def test_served_requests_follow_the_shares():
     queue = fair_queue.FairQueue(shares={'a': 3.0, 'b': 1.0})
     for number in range(80):
         queue.add(queued(number, team='ab'[number % 2]))
-    first = [item.team for item in drain(queue)[:40]]
+    first = [item.team for item in take_all(queue)[:40]]
     assert first.count('a') == pytest.approx(30, abs=2)
 
 
@@ -111,11 +111,11 @@
     queue.add(queued(0, cost_s=5.0, long=True))
     for number in range(1, 30):
         queue.add(queued(number, team=f't{number}'))
-    place = [item.long for item in drain(queue)].index(True)
+    place = [item.long for item in take_all(queue)].index(True)
     assert 1 <= place <= 10
 
 
-def test_idle_teams_take_no_memory():
+def test_number_of_stored_idle_teams_is_bounded():
     queue = fair_queue.FairQueue(shares={})
     for number in range(13000):
         queue.add(queued(number, team=f't{number}'))
@@ -123,7 +123,7 @@
     assert queue.teams < 1000
 
 
-def test_heaviest_is_the_newest_of_the_team_with_most():
+def test_newest_request_of_the_team_with_most_queued_is_returned():
     queue = fair_queue.FairQueue(shares={})
     for number in range(6):
         queue.add(queued(number, team='heavy' if number < 4 else 'light'))
@@ -134,7 +134,7 @@
 
 
 @hypothesis.given(st.lists(st.booleans(), max_size=400))
-def test_retry_budget_is_a_share_of_fresh_traffic(steps):
+def test_retry_budget_is_a_share_of_new_requests(steps):
     budget = retry_budget.RetryBudget()
     fresh = retries = 0
     for is_fresh in steps:
@@ -156,34 +156,34 @@
 )
 def test_transfer_bytes_are_never_negative(steps):
     budget = transfer_budget.TransferBudget()
-    moving = {}
-    for number, (name, what, size) in enumerate(steps):
+    in_flight = {}
+    for number, (name, step, size) in enumerate(steps):
         work_id = f'w{name}'
-        if what == 0:
+        if step == 0:
             budget.start(work_id, ('a', 'b'), size, float(number))
-            moving[work_id] = size
-        elif what == 1:
+            in_flight[work_id] = size
+        elif step == 1:
             budget.complete(work_id, float(number))
-            moving.pop(work_id, None)
+            in_flight.pop(work_id, None)
         else:
             budget.abandon(work_id)
-            moving.pop(work_id, None)
-        assert budget.in_flight_bytes == sum(moving.values())
+            in_flight.pop(work_id, None)
+        assert budget.in_flight_bytes == sum(in_flight.values())
 
 
-def test_stalled_transfer_ends_while_its_result_lives():
+def test_stalled_transfer_times_out_before_its_result_expires():
     budget = transfer_budget.TransferBudget()
     link = ('a', 'b')
     predicted_s = 0.3
     size = int(predicted_s * transfer_budget.PRIOR_BYTES_PER_S)
     assert budget.timeout_s(link, size, 0.7) == pytest.approx(0.7)
-    # One that cannot be over by then gets its time.
+    # A transfer that cannot end by then keeps its full timeout.
     assert budget.timeout_s(link, 4 * size, 0.7) > 4 * predicted_s
 
 
-def test_appointments_are_spaced_and_kept():
-    # Ten callers are refused at once. Told the same second they would
-    # all be refused again; each gets a time of its own instead.
+def test_retry_promises_are_spaced_and_redeemed_once():
+    # Ten callers are rejected at once. If all were promised the same
+    # second, they would all be rejected again, so each gets its own time.
     promises = retry_promises.RetryPromises()
     waits = [
         promises.promise(
@@ -218,7 +218,7 @@
     assert promises.due_cost_s == 0
 
 
-def test_margin_settles_at_the_share_of_misses():
+def test_margin_converges_to_the_target_share_of_misses():
     margin = admission.Margin()
     for number in range(5000):
         margin.record_outcome(
@@ -227,8 +227,8 @@
     assert margin.value_s(1.0) == pytest.approx(0.31, abs=0.05)
 
 
-def test_hopeless_target_is_not_refused_for_ever():
-    # A dossier takes 1.5 s to read; the target is 1 s.
+def test_unreachable_target_is_not_always_rejected():
+    # The prompt takes 1.5 s to prefill; the target is 1 s.
     limit_s = admission.limit_s(
         arrived_s=0.0, first_token_by_s=1.0, idle_first_token_s=1.5
     )
@@ -254,25 +254,25 @@
     return ejections, fleet
 
 
-def test_slow_runner_is_out_and_comes_back():
+def test_slow_runner_is_ejected_and_readmitted():
     ejections, fleet = eject({'a': 0.02, 'b': 0.02, 'c': 0.1, 'd': 0.02})
     assert ejections.ejected == {'c'}
     assert ejections.readmit(fleet, ejection.EJECTION_S) == ['c']
     assert fleet.runners['c'].usable
 
 
-def test_few_are_out_at_a_time():
+def test_only_a_share_of_a_pool_is_ejected_at_a_time():
     values = {f'r{n}': 0.1 if n < 4 else 0.02 for n in range(9)}
     ejections, _ = eject(values)
     assert 1 <= len(ejections.ejected) <= 2
 
 
-def test_slow_pool_is_not_a_fault():
+def test_no_runner_of_a_slow_pool_is_ejected():
     ejections, _ = eject({'a': 0.1, 'b': 0.11, 'c': 0.12})
     assert not ejections.ejected
 
 
-def test_prefix_is_believed_less_with_age():
+def test_expected_cached_tokens_decay_with_age():
     index = prefix_index.PrefixIndex()
     index.add('p', range(10), 0.0)
     fresh = index.expected_tokens('p', tuple(range(20)), 0.0)
--- a/tests/decisions/test_policy_machine.py
+++ b/tests/decisions/test_policy_machine.py
@@ -1,4 +1,4 @@
-"""Random events against an oracle that counts what runners hold."""
+"""Random events, checked against a model of what runners have reserved."""
 
 import hypothesis
 from hypothesis import stateful
@@ -15,7 +15,7 @@
 
 SLOTS = 3
 CAPACITY = 6000
-# Half of what a result surely lives.
+# Half of the guaranteed lifetime of a prefill result.
 RESULT_AGE_S = 0.4
 RUNNERS = ('p0', 'p1', 'd0', 'd1')
 
@@ -36,17 +36,21 @@
 
 
 class PolicyMachine(stateful.RuleBasedStateMachine):
-    """No room twice, nothing expired or refused started, no leak."""
+    """Checks that reservations never overlap, expire late or leak.
+
+    No slot or byte is granted twice, no expired or rejected request is
+    started, and at the end nothing is still reserved.
+    """
 
     def __init__(self):
         super().__init__()
         self.now_s = 0.0
-        self.made = 0
+        self.request_count = 0
         self.incarnations = dict.fromkeys(RUNNERS, 1)
         self.alive = set(RUNNERS)
         self.items = {}
         self.phase = {}
-        self.held = {}
+        self.reservations = {}
         self.prefilled_s = {}
         self.failures = set()
 
@@ -58,52 +62,56 @@
         for runner_id in RUNNERS:
             self.policy.on_runner(facts(runner_id), self.now_s)
 
-    def pump(self):
+    def execute_actions(self):
         for todo in self.policy.actions(self.now_s):
             work_id = todo.work_id
-            assert work_id in self.phase, 'action for work that is over'
+            assert work_id in self.phase, 'action for an ended request'
             if isinstance(todo, action.GiveUp):
                 assert todo.retry_after_s > 0
-                self.forget(work_id, stage.Ending.FAILED)
+                self.end_request(work_id, stage.Ending.FAILED)
                 continue
             if isinstance(todo, action.StartPrefill):
                 if self.phase[work_id] == 'prefilled':
-                    # A prompt is read again only if nobody could take
-                    # its result in time, or a transfer of it failed.
+                    # A prompt is prefilled again only if no decode
+                    # runner had a slot in time or a transfer failed.
                     age_s = self.now_s - self.prefilled_s[work_id]
-                    dead = age_s >= RESULT_AGE_S
-                    assert dead or work_id in self.failures, 'dropped'
+                    expired = age_s >= RESULT_AGE_S
+                    assert expired or work_id in self.failures, (
+                        'a usable prefill result was dropped'
+                    )
                     self.failures.add(work_id)
                 else:
                     assert self.phase[work_id] == 'queued'
                 if work_id not in self.failures:
                     due_s = self.items[work_id].first_token_by_s
-                    assert self.now_s <= due_s, 'expired work started'
+                    assert self.now_s <= due_s, 'expired request started'
                 self.phase[work_id] = 'prefill'
                 if todo.decode_runner_id is not None:
-                    self.take(todo.decode_runner_id, todo)
+                    self.check_reservation(todo.decode_runner_id, todo)
                 continue
             assert self.phase[work_id] == 'prefilled'
             self.phase[work_id] = 'transfer'
-            self.take(todo.runner_id, todo)
+            self.check_reservation(todo.runner_id, todo)
 
-    def take(self, runner_id, todo):
-        here, _ = self.held.get(todo.work_id, (runner_id, 0))
+    def check_reservation(self, runner_id, todo):
+        here, _ = self.reservations.get(todo.work_id, (runner_id, 0))
         if here not in self.alive:
             here = runner_id
-        assert here == runner_id, 'room held at two runners'
-        self.held[todo.work_id] = (runner_id, todo.kv_bytes)
-        sizes = [size for at, size in self.held.values() if at == runner_id]
+        assert here == runner_id, 'reservations on two runners'
+        self.reservations[todo.work_id] = (runner_id, todo.kv_bytes)
+        sizes = [
+            size for at, size in self.reservations.values() if at == runner_id
+        ]
         assert len(sizes) <= SLOTS, 'a slot granted twice'
         assert sum(sizes) <= CAPACITY, 'bytes granted twice'
 
-    def forget(self, work_id, how):
-        self.held.pop(work_id, None)
+    def end_request(self, work_id, how):
+        self.reservations.pop(work_id, None)
         del self.phase[work_id]
         self.policy.on_end(work_id, how, self.now_s)
-        self.pump()
+        self.execute_actions()
 
-    def some(self, data, *phases):
+    def pick_request(self, data, *phases):
         names = [name for name, at in self.phase.items() if at in phases]
         if not names:
             return None
@@ -115,9 +123,9 @@
         slack_s=st.sampled_from([0.5, 1.0, 3.0]),
     )
     def offer(self, tokens, team, slack_s):
-        self.made += 1
+        self.request_count += 1
         item = work.Work(
-            work_id=f'w{self.made}',
+            work_id=f'w{self.request_count}',
             team=team,
             model='m',
             prompt_tokens=tokens,
@@ -125,16 +133,16 @@
             arrived_s=self.now_s,
             first_token_by_s=self.now_s + slack_s,
             token_gap_s=0.03,
-            key=f'k{self.made}',
+            key=f'k{self.request_count}',
         )
         self.items[item.work_id] = item
         self.phase[item.work_id] = 'queued'
         self.policy.offer(item, self.now_s)
-        self.pump()
+        self.execute_actions()
 
     @stateful.rule(count=st.integers(2, 5))
-    def big_ones_to_their_decode(self, count):
-        """Several long dossiers at once, read and sent on at once."""
+    def long_prompts_at_once(self, count):
+        """Submit several long prompts at once and prefill them at once."""
         before = set(self.phase)
         for _ in range(count):
             self.offer(tokens=2400, team='a', slack_s=3.0)
@@ -144,66 +152,66 @@
             self.phase[work_id] = 'prefilled'
             self.prefilled_s[work_id] = self.now_s
             self.policy.on_prefill_done(work_id, 0, self.now_s)
-            self.pump()
+            self.execute_actions()
 
     @stateful.rule(data=st.data())
     def prefilled(self, data):
-        work_id = self.some(data, 'prefill')
+        work_id = self.pick_request(data, 'prefill')
         if work_id is not None:
             self.phase[work_id] = 'prefilled'
             self.prefilled_s[work_id] = self.now_s
             self.policy.on_prefill_done(work_id, 0, self.now_s)
-            self.pump()
+            self.execute_actions()
 
     @stateful.rule(data=st.data())
-    def moved(self, data):
-        work_id = self.some(data, 'transfer')
+    def transfer_done(self, data):
+        work_id = self.pick_request(data, 'transfer')
         if work_id is not None:
             self.phase[work_id] = 'decode'
             self.policy.on_transfer_done(work_id, self.now_s)
             self.policy.on_tokens(work_id, 1, self.now_s)
             self.failures.add(work_id)
-            self.pump()
+            self.execute_actions()
 
     @stateful.rule(data=st.data(), how=st.sampled_from(stage.Ending))
     def end(self, data, how):
         phases = ('queued', 'prefill', 'prefilled', 'transfer', 'decode')
         if how is stage.Ending.COMPLETED:
             phases = ('decode',)
-        work_id = self.some(data, *phases)
+        work_id = self.pick_request(data, *phases)
         if work_id is not None:
-            self.forget(work_id, how)
+            self.end_request(work_id, how)
 
     @stateful.rule(data=st.data(), repeat=st.booleans())
     def fail(self, data, repeat):
-        work_id = self.some(data, 'prefill', 'transfer', 'decode')
+        work_id = self.pick_request(data, 'prefill', 'transfer', 'decode')
         if work_id is None:
             return
         at = stage.Stage(self.phase[work_id])
-        runner_id, _ = self.held.pop(work_id, ('p0', 0))
+        runner_id, _ = self.reservations.pop(work_id, ('p0', 0))
         if at is stage.Stage.PREFILL:
             runner_id = 'p0'
         self.failures.add(work_id)
-        # A transfer that failed may be sent elsewhere or read again;
-        # the next action tells which.
+        # After a failed transfer the result is sent to another runner or
+        # the prompt is prefilled again; the next action shows which.
         self.phase[work_id] = 'queued'
         self.policy.on_failed(work_id, at, runner_id, self.now_s, repeat)
         if at is stage.Stage.TRANSFER and repeat:
             self.phase[work_id] = 'prefilled'
-            self.again(work_id)
+            self.accept_retry(work_id)
             return
-        self.pump()
+        self.execute_actions()
 
-    def again(self, work_id):
-        """Accept either way on after a failed transfer."""
+    def accept_retry(self, work_id):
+        """Accept a second transfer or a second prefill."""
         todo = self.policy.actions(self.now_s)
         for item in todo:
             if item.work_id == work_id:
                 if isinstance(item, action.StartPrefill):
                     self.phase[work_id] = 'queued'
-        self.replay(todo)
+        self.execute(todo)
 
-    def replay(self, todo):
+    def execute(self, todo):
         policy = self.policy
         batches = [todo]
 
@@ -216,24 +224,25 @@
 
         self.policy = Once()
         try:
-            self.pump()
+            self.execute_actions()
         finally:
             self.policy = policy
 
     @stateful.rule(data=st.data())
     def denied(self, data):
-        work_id = self.some(data, 'transfer')
-        # Only a runner that is still there can be without room.
-        if work_id is not None and work_id in self.held:
-            runner_id, _ = self.held.pop(work_id)
+        work_id = self.pick_request(data, 'transfer')
+        # Only a runner that is still present can deny a reservation.
+        if work_id is not None and work_id in self.reservations:
+            runner_id, _ = self.reservations.pop(work_id)
             self.phase[work_id] = 'prefilled'
             self.policy.on_denied(work_id, runner_id, 0, self.now_s)
-            self.pump()
+            self.execute_actions()
 
     @stateful.rule(step_s=st.sampled_from([0.001, 0.02, 0.3, 2.0]))
     def pass_time(self, step_s):
         self.now_s += step_s
-        # A result that waited too long for a slot is read again.
+        # A prompt whose result waited too long for a slot is prefilled
+        # again.
         waiting = [w for w, at in self.phase.items() if at == 'prefilled']
         todo = self.policy.actions(self.now_s)
         for item in todo:
@@ -241,22 +250,22 @@
                 if item.work_id in waiting:
                     self.failures.add(item.work_id)
                     self.phase[item.work_id] = 'queued'
-        self.replay(todo)
+        self.execute(todo)
 
     @stateful.rule(runner_id=st.sampled_from(RUNNERS))
     def restart(self, runner_id):
         self.alive.discard(runner_id)
         self.policy.on_runner_gone(runner_id, self.now_s)
-        for work_id, (at, _) in list(self.held.items()):
+        for work_id, (at, _) in list(self.reservations.items()):
             if at == runner_id:
-                self.held.pop(work_id)
-        self.pump()
+                self.reservations.pop(work_id)
+        self.execute_actions()
         self.incarnations[runner_id] += 1
         self.alive.add(runner_id)
         self.policy.on_runner(
             facts(runner_id, self.incarnations[runner_id]), self.now_s
         )
-        self.pump()
+        self.execute_actions()
 
     @stateful.invariant()
     def budgets_hold(self):
@@ -273,8 +282,8 @@
             return
         for work_id in list(self.phase):
             if work_id in self.phase:
-                self.forget(work_id, stage.Ending.CANCELLED)
-        assert self.policy.idle, 'something leaked'
+                self.end_request(work_id, stage.Ending.CANCELLED)
+        assert self.policy.idle, 'a reservation or count leaked'
 
 
 TestPolicyMachine = PolicyMachine.TestCase
@@ -283,7 +292,7 @@
 )
 
 
-# A mutant need only be found, not shrunk.
+# Finding a failing example is enough; it need not be shrunk.
 MUTANT_SETTINGS = hypothesis.settings(
     max_examples=1000,
     stateful_step_count=40,
@@ -299,14 +308,14 @@
         )
 
 
-def test_placement_without_a_look_at_memory_is_caught(monkeypatch):
+def test_placement_that_ignores_memory_is_caught(monkeypatch):
     monkeypatch.setattr(
         runner_state.RunnerState, 'fits', lambda self, kv_bytes: True
     )
     _is_caught()
 
 
-def test_slot_that_is_never_given_back_is_caught(monkeypatch):
+def test_slot_that_is_never_released_is_caught(monkeypatch):
     monkeypatch.setattr(
         full_policy.FullPolicy, '_release_decode', lambda self, job: None
     )
--- a/tests/decisions/test_retry_placement.py
+++ b/tests/decisions/test_retry_placement.py
@@ -41,19 +41,19 @@
     return policy.actions(0.0)
 
 
-def _to_decode(policy, name, now_s):
+def _finish_prefill(policy, name, now_s):
     policy.on_prefill_done(name, 0, now_s)
-    (got,) = policy.actions(now_s)
-    assert isinstance(got, action.StartDecode)
-    return got.runner_id
+    (started,) = policy.actions(now_s)
+    assert isinstance(started, action.StartDecode)
+    return started.runner_id
 
 
-def test_prompt_is_not_read_again_for_a_runner_it_may_not_use():
-    """A secretary's note breaks off at its decode runner.
+def test_prompt_is_not_prefilled_again_while_only_a_failed_runner_is_free():
+    """A retry waits until a runner that did not fail it has a free slot.
 
-    The runner is free again, but the request may not go back to it, and
-    the other one is full. A prefill started now would be thrown away:
-    it must wait until the other runner has room.
+    The decode runner that failed the request is free again, but the
+    request may not return to it, and the other runner is full. A prefill
+    that starts now would be wasted.
     """
     policy = full_policy.FullPolicy(
         config=policy_config.PolicyConfig(
@@ -65,28 +65,28 @@
     for number in range(2):
         _runner(policy, f'd{number}', 'decode')
     _offer(policy, 'a')
-    broken = _to_decode(policy, 'a', 0.1)
+    failed_id = _finish_prefill(policy, 'a', 0.1)
     _offer(policy, 'b')
-    other = _to_decode(policy, 'b', 0.2)
-    assert broken != other
-    policy.on_failed('a', stage.Stage.DECODE, broken, 0.3)
+    other_id = _finish_prefill(policy, 'b', 0.2)
+    assert failed_id != other_id
+    policy.on_failed('a', stage.Stage.DECODE, failed_id, 0.3)
     assert policy.actions(0.3) == []
     policy.on_tokens('b', 100, 0.5)
     policy.on_end('b', stage.Ending.COMPLETED, 0.6)
-    (got,) = policy.actions(0.6)
-    assert isinstance(got, action.StartPrefill)
-    assert (got.work_id, got.decode_runner_id) == ('a', other)
+    (started,) = policy.actions(0.6)
+    assert isinstance(started, action.StartPrefill)
+    assert (started.work_id, started.decode_runner_id) == ('a', other_id)
 
 
-def _begin_and_fail_everywhere(policy, name):
-    """Let a begun note be failed by every decode runner there is."""
+def _start_and_fail_on_all_runners(policy, name):
+    """Start an answer and let each of the two decode runners fail it."""
     _offer(policy, name)
-    failing = _to_decode(policy, name, 0.1)
+    failing = _finish_prefill(policy, name, 0.1)
     policy.on_transfer_done(name, 0.15)
     policy.on_tokens(name, 8, 0.2)
     policy.on_failed(name, stage.Stage.DECODE, failing, 0.3)
-    (again,) = policy.actions(0.4)
-    assert isinstance(again, action.StartPrefill)
+    (retry,) = policy.actions(0.4)
+    assert isinstance(retry, action.StartPrefill)
     policy.on_prefill_done(name, 0, 0.5)
     (moved,) = policy.actions(0.5)
     assert moved.runner_id != failing
@@ -105,47 +105,47 @@
 
 
 def test_a_begun_answer_without_a_runner_stops_no_other():
-    """Both decode runners fail a note that its club has read in part.
+    """A started answer that all runners failed does not block others.
 
-    It waits some seconds for one of them to start anew. Another note,
-    failed by one runner only, stood behind it meanwhile, and whoever
-    came was told that the fleet is full while it was idle: one spell of
-    failures turned 407 of 500 callers away.
+    It waits some seconds for a decode runner to restart. While it was
+    at the head of the queue, a request that only one runner had failed
+    waited behind it, and new requests were rejected as if the idle
+    fleet were full: one series of failures rejected 407 of 500 callers.
     """
     policy = _policy_with(3, 2)
-    _begin_and_fail_everywhere(policy, 'a')
+    _start_and_fail_on_all_runners(policy, 'a')
     _offer(policy, 'b')
-    broken = _to_decode(policy, 'b', 0.8)
-    policy.on_failed('b', stage.Stage.DECODE, broken, 0.9)
+    failed_id = _finish_prefill(policy, 'b', 0.8)
+    policy.on_failed('b', stage.Stage.DECODE, failed_id, 0.9)
     started = policy.actions(1.0)
-    assert [one.work_id for one in started] == ['b']
-    (let_in,) = _offer(policy, 'c')
-    assert isinstance(let_in, action.StartPrefill)
-    assert let_in.work_id == 'c'
+    assert [item.work_id for item in started] == ['b']
+    (admitted,) = _offer(policy, 'c')
+    assert isinstance(admitted, action.StartPrefill)
+    assert admitted.work_id == 'c'
 
 
 def test_a_begun_answer_goes_on_at_a_runner_that_starts_anew():
-    """The same note goes on once one of its runners has restarted."""
+    """The answer resumes once one of the failed runners has restarted."""
     policy = _policy_with(3, 2)
-    first, _ = _begin_and_fail_everywhere(policy, 'a')
+    first, _ = _start_and_fail_on_all_runners(policy, 'a')
     _runner(policy, first, 'decode', slots=8, incarnation=2)
-    (again,) = policy.actions(1.0)
-    assert isinstance(again, action.StartPrefill)
-    assert again.work_id == 'a'
+    (retry,) = policy.actions(1.0)
+    assert isinstance(retry, action.StartPrefill)
+    assert retry.work_id == 'a'
 
 
 def test_a_begun_answer_is_given_up_when_no_runner_comes():
-    """No runner starts anew: its caller is told, and nothing is kept."""
+    """If no runner restarts, the request is given up and freed."""
     policy = _policy_with(3, 2)
-    _begin_and_fail_everywhere(policy, 'a')
+    _start_and_fail_on_all_runners(policy, 'a')
     wake_s = policy.wake_s()
     assert wake_s is not None and wake_s < 7.0
-    ends = [
-        one
+    rejections = [
+        item
         for now_s in (wake_s, 7.0)
-        for one in policy.actions(now_s)
-        if isinstance(one, action.GiveUp)
+        for item in policy.actions(now_s)
+        if isinstance(item, action.GiveUp)
     ]
-    assert [one.work_id for one in ends] == ['a']
+    assert [item.work_id for item in rejections] == ['a']
     policy.on_end('a', stage.Ending.FAILED, 7.0)
     assert policy.idle
