--- a/limpetroute/decisions/admission.py
+++ b/limpetroute/decisions/admission.py
@@ -25,7 +25,7 @@
 TARGET_MISS_SHARE = 0.02
 MARGIN_STEP_SHARE = 0.03
 MAX_MARGIN_SHARE = 0.7
-REFUSAL_WEIGHT = 0.25
+REJECTION_WEIGHT = 0.25
 UNREACHABLE_TARGET_FACTOR = 4.0
 MIN_SLACK_S = 0.01
 BIAS_WEIGHT = 0.05
@@ -60,13 +60,13 @@
         """Return the margin for a target in ``slack_s`` seconds."""
         return MIN_SLACK_S + self._share * slack_s
 
-    def record_refusal(self) -> None:
+    def record_rejection(self) -> None:
         """Shrink the margin a little after a rejection.
 
         Without this, a margin so large that every request is rejected
         would never shrink again.
         """
-        step = REFUSAL_WEIGHT * MARGIN_STEP_SHARE * TARGET_MISS_SHARE
+        step = REJECTION_WEIGHT * MARGIN_STEP_SHARE * TARGET_MISS_SHARE
         self._share = max(0.0, self._share - step)
 
     def record_outcome(self, *, missed: bool) -> None:
--- a/limpetroute/decisions/forecast.py
+++ b/limpetroute/decisions/forecast.py
@@ -106,12 +106,25 @@
     def decode_capacity(
         self, model: str, kv_bytes: int, enough: int
     ) -> tuple[int, int, int]:
-        """Return free places and the slots and bytes this host reserved.
+        """Count free places and this host's reserved slots and bytes.
 
         Slots that other hosts use will come free too, but each host
         counts only its own: when all seven hosts counted on the same
         slot, it was promised seven times and a tenth of the prefill
-        work was wasted. Counting stops once ``enough`` requests fit.
+        work was wasted.
+
+        Parameters
+        ----------
+        kv_bytes : int
+            KV memory that one request needs.
+        enough : int
+            Number of free places at which counting stops.
+
+        Returns
+        -------
+        tuple of int
+            Requests that fit now, then slots and bytes that this host
+            has reserved.
         """
         free = 0
         busy = 0
--- a/limpetroute/decisions/full_policy.py
+++ b/limpetroute/decisions/full_policy.py
@@ -207,7 +207,7 @@
             )
         fits = self._predict(job, state, prefill_s, is_promised, now_s)
         if self._config.uses(Decision.ADMISSION) and not fits:
-            self._refuse(job, action.Reason.SATURATED, now_s)
+            self._reject(job, action.Reason.SATURATED, now_s)
             return
         queued.has_priority = is_promised
         self._enqueue(job, state, now_s)
@@ -318,7 +318,7 @@
         if not bad_result:
             self._avoid(job, at, runner_id)
         if not may_repeat:
-            self._refuse(job, action.Reason.RETRIES, now_s)
+            self._reject(job, action.Reason.RETRIES, now_s)
             return
         if at is stage.Stage.TRANSFER and was_decode and not bad_result:
             if (
@@ -374,9 +374,9 @@
             times.append(self._expiries[0][0])
         if self._pause_ends:
             times.append(self._pause_ends[0][0])
-        probe_s = self._ejection.wake_s
-        if probe_s is not None:
-            times.append(probe_s)
+        ejection_end_s = self._ejection.wake_s
+        if ejection_end_s is not None:
+            times.append(ejection_end_s)
         return min(times, default=None)
 
     @property
@@ -483,7 +483,7 @@
         margin_s = margin.value_s(slack_s)
         if now_s + job.predicted_s + margin_s <= job.limit_s:
             return True
-        margin.record_refusal()
+        margin.record_rejection()
         return False
 
     def _choose_prefill(
@@ -585,7 +585,7 @@
             end_s = now_s + bias.corrected_wait_s(wait_s) + job.service_s
             if end_s <= job.limit_s or job.delivered_tokens:
                 return
-            self._refuse(job, action.Reason.SATURATED, now_s)
+            self._reject(job, action.Reason.SATURATED, now_s)
 
     def _dispatch(self, model: str, now_s: float) -> None:
         state = self._models[model]
@@ -626,7 +626,7 @@
         late = now_s + service_s > job.limit_s
         if late and self._config.uses(Decision.ADMISSION):
             if not job.delivered_tokens:
-                self._refuse(job, action.Reason.DEADLINE, now_s)
+                self._reject(job, action.Reason.DEADLINE, now_s)
                 return True
         self._start(job, state, choice, service_s, now_s)
         return True
@@ -926,17 +926,17 @@
         prefill_s = self._predictor.typical_prefill_s(job.prefill_tokens)
         late = now_s + prefill_s > job.limit_s
         if late:
-            self._refuse(job, action.Reason.DEADLINE, now_s)
+            self._reject(job, action.Reason.DEADLINE, now_s)
             return
         if not job.delivered_tokens and self._all_runners_failed(job):
-            self._refuse(job, action.Reason.RETRIES, now_s)
+            self._reject(job, action.Reason.RETRIES, now_s)
             return
         if self._config.uses(Decision.RETRY_BUDGET):
             if not self._retries.spend(job.attempts):
-                self._refuse(job, action.Reason.RETRIES, now_s)
+                self._reject(job, action.Reason.RETRIES, now_s)
                 return
         elif job.attempts >= 3 * retry_budget.MAX_ATTEMPTS:
-            self._refuse(job, action.Reason.RETRIES, now_s)
+            self._reject(job, action.Reason.RETRIES, now_s)
             return
         self._requeue(job, now_s)
 
@@ -975,7 +975,7 @@
         if latest_s > now_s:
             heapq.heappush(self._expiries, (latest_s, job.item.work_id))
             return
-        self._refuse(job, action.Reason.DEADLINE, now_s)
+        self._reject(job, action.Reason.DEADLINE, now_s)
 
     def _expire_awaiting(self, job: job_module.Job, now_s: float) -> None:
         """Retry a request whose prefill result has expired."""
@@ -1033,7 +1033,7 @@
         state.stranded.pop(work_id, None)
         state.awaiting.pop(work_id, None)
 
-    def _refuse(
+    def _reject(
         self, job: job_module.Job, reason: action.Reason, now_s: float
     ) -> None:
         """Reject the request and promise its caller a time to retry."""
--- a/limpetroute/decisions/routers.py
+++ b/limpetroute/decisions/routers.py
@@ -47,7 +47,7 @@
         decision = policy_config.Decision(name.removeprefix(WITHOUT))
         without = frozenset({decision})
     elif name != FULL:
-        raise ValueError(f'{name!r} is not a router')
+        raise ValueError(f'unknown router {name!r}')
     return full_policy.FullPolicy(
         config=policy_config.PolicyConfig(objective=objective, without=without)
     )
--- a/limpetroute/decisions/short_lane.py
+++ b/limpetroute/decisions/short_lane.py
@@ -7,7 +7,7 @@
 `BLOCK_SHARE` of the shortest recent target of a short request may
 therefore not start on the runner with the least name, which is the same
 on all hosts without a message. Long requests lose that runner only if a
-short request arrived within the last `SHORT_WORK_TTL_S`.
+short request arrived within the last `SHORT_REQUEST_TTL_S`.
 
 A request is short if its prefill takes at most `SHORT_SHARE` of the
 mean of the last requests: prompts of 5 ms among prompts of 300 ms are
@@ -21,7 +21,7 @@
 
 BLOCK_SHARE = 0.5
 SHORT_SHARE = 0.25
-SHORT_WORK_TTL_S = 10.0
+SHORT_REQUEST_TTL_S = 10.0
 MEAN_WEIGHT = 0.02
 
 
@@ -48,7 +48,7 @@
         self._mean_prefill.add(prefill_s)
         long = prefill_s > SHORT_SHARE * self._mean_prefill.value
         if not long:
-            if now_s - self._last_short_s > SHORT_WORK_TTL_S:
+            if now_s - self._last_short_s > SHORT_REQUEST_TTL_S:
                 self._min_slack_s = slack_s
             self._min_slack_s = min(self._min_slack_s, slack_s)
             self._last_short_s = now_s
@@ -56,6 +56,6 @@
 
     def would_block(self, prefill_s: float, now_s: float) -> bool:
         """Whether a prefill would block short requests for too long."""
-        if now_s - self._last_short_s > SHORT_WORK_TTL_S:
+        if now_s - self._last_short_s > SHORT_REQUEST_TTL_S:
             return False
         return prefill_s > BLOCK_SHARE * self._min_slack_s
--- a/tests/decisions/test_policy_machine.py
+++ b/tests/decisions/test_policy_machine.py
@@ -36,10 +36,10 @@
 
 
 class PolicyMachine(stateful.RuleBasedStateMachine):
-    """Checks that reservations never overlap, expire late or leak.
+    """Checks the policy's actions against a model of the runners.
 
-    No slot or byte is granted twice, no expired or rejected request is
-    started, and at the end nothing is still reserved.
+    No slot or byte may be granted twice, no expired or rejected request
+    may start, and at the end nothing may still be reserved.
     """
 
     def __init__(self):
--- a/tests/decisions/test_retry_placement.py
+++ b/tests/decisions/test_retry_placement.py
@@ -81,18 +81,18 @@
 def _start_and_fail_on_all_runners(policy, name):
     """Start an answer and let each of the two decode runners fail it."""
     _offer(policy, name)
-    failing = _finish_prefill(policy, name, 0.1)
+    failed_id = _finish_prefill(policy, name, 0.1)
     policy.on_transfer_done(name, 0.15)
     policy.on_tokens(name, 8, 0.2)
-    policy.on_failed(name, stage.Stage.DECODE, failing, 0.3)
+    policy.on_failed(name, stage.Stage.DECODE, failed_id, 0.3)
     (retry,) = policy.actions(0.4)
     assert isinstance(retry, action.StartPrefill)
     policy.on_prefill_done(name, 0, 0.5)
     (moved,) = policy.actions(0.5)
-    assert moved.runner_id != failing
+    assert moved.runner_id != failed_id
     policy.on_failed(name, stage.Stage.DECODE, moved.runner_id, 0.6)
     assert policy.actions(0.6) == []
-    return failing, moved.runner_id
+    return failed_id, moved.runner_id
 
 
 def _policy_with(prefills, decodes):
@@ -135,7 +135,7 @@
 
 
 def test_a_begun_answer_is_given_up_when_no_runner_comes():
-    """If no runner restarts, the request is given up and freed."""
+    """If no runner restarts, the request is given up and all is freed."""
     policy = _policy_with(3, 2)
     _start_and_fail_on_all_runners(policy, 'a')
     wake_s = policy.wake_s()
