--- a/limpetroute/decisions/admission.py
+++ b/limpetroute/decisions/admission.py
@@ -57,7 +57,7 @@
         self._share = 0.0
 
     def value_s(self, slack_s: float) -> float:
-        """Return the margin for a target in ``slack_s`` seconds."""
+        """Return the margin for a target that is ``slack_s`` away."""
         return MIN_SLACK_S + self._share * slack_s
 
     def record_rejection(self) -> None:
--- a/limpetroute/decisions/forecast.py
+++ b/limpetroute/decisions/forecast.py
@@ -46,7 +46,7 @@
 
     def after_prefill_s(self, item: work.Work, tokens: int) -> float:
         """Time for the transfer and the first decode step."""
-        state = self.freest_decode_runner(item.model)
+        state = self.least_loaded_decode_runner(item.model)
         if state is None:
             return self._predictor.token_gap_s('')
         transfer_bytes = tokens * state.facts.kv_bytes_per_token
@@ -86,7 +86,7 @@
         model = item.model
         prefills = self._fleet.count(runner_facts.Role.PREFILL, model)
         cost_s = prefill_s / max(1, prefills)
-        state = self.freest_decode_runner(model)
+        state = self.least_loaded_decode_runner(model)
         if state is None:
             return cost_s
         facts = state.facts
@@ -97,7 +97,7 @@
         pool_bytes = max(1, decodes * facts.kv_capacity_bytes)
         return max(cost_s, hold_s * kv_bytes / pool_bytes)
 
-    def freest_decode_runner(
+    def least_loaded_decode_runner(
         self, model: str
     ) -> runner_state.RunnerState | None:
         """Return the decode runner of a model with the most free slots."""
--- a/limpetroute/decisions/full_policy.py
+++ b/limpetroute/decisions/full_policy.py
@@ -418,7 +418,7 @@
             False if the request was rejected.
         """
         model = job.item.model
-        decode_runner = self._forecast.freest_decode_runner(model)
+        decode_runner = self._forecast.least_loaded_decode_runner(model)
         prefills = self._fleet.count(runner_facts.Role.PREFILL, model)
         state = self._model(model)
         if decode_runner is None or not prefills:
@@ -513,7 +513,9 @@
         )
 
     def _kv_bytes(self, job: job_module.Job) -> int:
-        decode_runner = self._forecast.freest_decode_runner(job.item.model)
+        decode_runner = self._forecast.least_loaded_decode_runner(
+            job.item.model
+        )
         if decode_runner is None:
             return 0
         return forecast_module.kv_bytes_needed(job.item, decode_runner.facts)
@@ -767,7 +769,9 @@
         the prefill work was wasted in the bench at 1.2 times the
         capacity. The key is the set of models of a decode runner.
         """
-        decode_runner = self._forecast.freest_decode_runner(job.item.model)
+        decode_runner = self._forecast.least_loaded_decode_runner(
+            job.item.model
+        )
         if decode_runner is None:
             return frozenset({job.item.model})
         return decode_runner.facts.models
--- a/tests/agreement/seed_cluster.py
+++ b/tests/agreement/seed_cluster.py
@@ -32,9 +32,9 @@
     def replace_host(self, host):
         """Remove a host for good and add an empty one with a new name."""
         self.crash(host, 0)
-        gone = self.nodes.pop(host)
-        self.lost_replica_ids.add(gone.replica_id)
-        number = max(int(member[1:]) for member in self.nodes) + 1
+        removed = self.nodes.pop(host)
+        self.lost_replica_ids.add(removed.replica_id)
+        number = max(int(name[1:]) for name in self.nodes) + 1
         new = f'c{max(number, self.size) + len(self.lost_replica_ids)}'
         self.nodes[new] = cluster.Node(
             new, f'{new}.0', agreement.SavedState(), 1.0
@@ -45,7 +45,7 @@
     def _deliver(self):
         # Messages in flight to a removed host are lost.
         self.in_flight = [
-            member for member in self.in_flight if member[1] in self.nodes
+            item for item in self.in_flight if item[1] in self.nodes
         ]
         super()._deliver()
 
--- a/tests/agreement/test_fuzz.py
+++ b/tests/agreement/test_fuzz.py
@@ -138,11 +138,11 @@
         self.cluster.fail_disk(self.host(number))
 
     @stateful.rule(number=HOSTS)
-    def stall_disk_or_end_it(self, number):
+    def toggle_disk_stall(self, number):
         self.cluster.stalled.symmetric_difference_update({self.host(number)})
 
     @stateful.rule(number=HOSTS, count=st.integers(100, 200))
-    def miss_hundreds(self, number, count):
+    def miss_hundreds_of_changes(self, number, count):
         """Stop a replica, commit hundreds of changes, and restart it."""
         host = self.host(number)
         self.cluster.crash(host, 0)
@@ -197,7 +197,7 @@
                 self.cluster.start(other)
 
     @stateful.rule(number=HOSTS)
-    def calm_then_return(self, number):
+    def return_after_partition(self, number):
         """End all faults; a host that was partitioned then returns."""
         host = self.host(number)
         leader = self.cluster.end_faults()
