--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -6,7 +6,7 @@
 import typing
 
 from limpetroute.control import node as node_module
-from limpetroute.dispatch import order_dialect
+from limpetroute.dispatch import order_codec
 from limpetroute.dispatch import service_runners
 from limpetroute.dispatch import stage_orders
 from limpetroute.routing import placement
@@ -46,7 +46,7 @@
     ----------
     node : Node
         This control host.
-    dialect : OrderDialect
+    codec : OrderCodec
         Reads routing configurations and writes orders.
     """
 
@@ -54,13 +54,13 @@
         self,
         *,
         node: node_module.Node,
-        dialect: order_dialect.OrderDialect,
+        codec: order_codec.OrderCodec,
     ) -> None:
         self._node = node
-        self._dialect = dialect
+        self._codec = codec
         self._orders = stage_orders.StageOrders(
             holder=node.settings.host_id,
-            dialect=dialect,
+            codec=codec,
             http=caller.Caller(),
         )
         self._limits = runner_limits.RunnerLimits()
@@ -93,7 +93,9 @@
         """Whether this host leads, and surely no other."""
         return self._node.config.replica.lease_valid(boot_clock.now_s())
 
-    async def place(self, ask: placement.PlacementRequest) -> Answer | None:
+    async def request_placement(
+        self, ask: placement.PlacementRequest
+    ) -> Answer | None:
         """Return a stream's place, or None if this host cannot decide."""
         if not self.leads:
             return None
@@ -105,48 +107,52 @@
             asyncio.get_running_loop().create_future()
         )
         self._pending[ask.request_id] = _Pending(ask=ask, future=future)
-        scheduler.ask(ask, boot_clock.now_s())
+        scheduler.submit(ask, boot_clock.now_s())
         self._request_pass(ask.service)
         try:
             return await future
         except asyncio.CancelledError:
-            scheduler.withdraw(ask.request_id)
+            scheduler.cancel(ask.request_id)
             raise
         finally:
             self._pending.pop(ask.request_id, None)
 
-    def withdraw(self, service: str, request_id: str) -> None:
+    def cancel(self, service: str, request_id: str) -> None:
         """Forget a stream whose caller is gone."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.withdraw(request_id)
+            scheduler.cancel(request_id)
 
-    def read(self, service: str, request_id: str, attempt: int) -> None:
+    def note_prefill_done(
+        self, service: str, request_id: str, attempt: int
+    ) -> None:
         """Take note that a prompt was read apart."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.read(request_id, attempt, boot_clock.now_s())
+            scheduler.note_prefill_done(
+                request_id, attempt, boot_clock.now_s()
+            )
             self._request_pass(service)
 
-    def first_event(
+    def note_first_event(
         self, service: str, request_id: str, attempt: int, took_s: float
     ) -> None:
         """Take note of the first event after a decode runner's own reading."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
             now_s = boot_clock.now_s()
-            scheduler.first_event(request_id, attempt, took_s, now_s)
+            scheduler.note_first_event(request_id, attempt, took_s, now_s)
             self._request_pass(service)
 
-    def end(self, service: str, end: placement.Release) -> None:
+    def release(self, service: str, release: placement.Release) -> None:
         """Take a place back."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.end(end, boot_clock.now_s())
+            scheduler.release(release, boot_clock.now_s())
             self._request_pass(service)
 
-    def take_limited(
-        self, report: runner_limits.Report, *, takes: bool
+    def acquire_token(
+        self, report: runner_limits.LimitReport, *, has_request: bool
     ) -> float | None:
         """Return when a host may send to a limited runner; None if now.
 
@@ -154,21 +160,21 @@
         ----------
         report : Report
             What the runner named, as the host heard it.
-        takes : bool
+        has_request : bool
             Whether the host has a request to send.
         """
         self._note_term()
         now_s = boot_clock.now_s()
-        runner_id = report.life.runner_id
-        self._limits.note(report, now_s)
-        if not takes:
+        runner_id = report.incarnation.runner_id
+        self._limits.note_limit(report, now_s)
+        if not has_request:
             return None
         if self._limits.has_token(runner_id, now_s):
             self._limits.take(runner_id, now_s)
             return None
-        return self._limits.turn_s(runner_id, now_s)
+        return self._limits.retry_wait_s(runner_id, now_s)
 
-    def adopt(
+    def restore(
         self, place: placement.Placement, ask: placement.PlacementRequest
     ) -> None:
         """Take note of a place that an earlier leader gave."""
@@ -177,7 +183,7 @@
         self._note_term()
         scheduler = self._scheduler(ask.service)
         if scheduler is not None:
-            scheduler.adopt(place, ask, boot_clock.now_s())
+            scheduler.restore(place, ask, boot_clock.now_s())
 
     async def _run(self) -> None:
         while True:
@@ -186,7 +192,7 @@
                 self._led_term = 0
                 self._give_up_pending()
                 continue
-            await self._node.cutter.cut(self._node.config.state)
+            await self._node.routes_splitter.split(self._node.config.state)
             self._note_term()
             for service, scheduler in self._schedulers.items():
                 if scheduler.waiting:
@@ -219,7 +225,7 @@
     def _scheduler(
         self, service: str
     ) -> stream_scheduler.StreamScheduler | None:
-        self._read_services()
+        self._update_services()
         known = self._schedulers.get(service)
         if known is not None:
             return known
@@ -232,7 +238,7 @@
         self._schedulers[service] = scheduler
         return scheduler
 
-    def _read_services(self) -> None:
+    def _update_services(self) -> None:
         """Take the services of the configuration in force.
 
         Those of the version before serve until it is cut into parts,
@@ -241,12 +247,12 @@
         state = self._node.config.state
         if state.routes is None or state.routes_index == self._routes_index:
             return
-        is_cut = state.recent_routes.is_cut(state.routes.digest)
-        if self._services and not is_cut:
+        is_split = state.recent_routes.is_split(state.routes.digest)
+        if self._services and not is_split:
             return
         copy = state.routes_copy()
         assert copy is not None
-        found = self._dialect.read_services(copy.parts)
+        found = self._codec.parse_services(copy.parts)
         self._services = {one.name: one for one in found}
         self._routes_index = state.routes_index
 
@@ -257,7 +263,7 @@
     def _forget_runner(self, runner_id: str) -> None:
         """Forget what was known of a runner that has started again."""
         for scheduler in self._schedulers.values():
-            scheduler.forget_runner(runner_id)
+            scheduler.reset_runner(runner_id)
 
     def _request_pass(self, service: str) -> None:
         """Have a service's streams placed after what is at hand now.
@@ -296,7 +302,7 @@
                     'outcome': type(answer).__name__,
                     **_detail(answer),
                     **(_inputs(pending.ask) if pending else {}),
-                    'held': scheduler.held,
+                    'held': scheduler.reservation_count,
                     'waiting': scheduler.waiting,
                     'tokens_per_s': round(scheduler.tokens_per_s),
                     'term': self._led_term,
@@ -306,7 +312,7 @@
                 pending.future.set_result(answer)
 
     def _keep_stages(self) -> None:
-        self._read_services()
+        self._update_services()
         for service in self._services.values():
             if service.engine is None:
                 continue
@@ -315,7 +321,7 @@
             scheduler = self._schedulers.get(service.name)
             gone_s = scheduler.gone_s(runners, now_s) if scheduler else {}
             rates = scheduler.rates if scheduler else None
-            self._orders.keep(
+            self._orders.reconcile(
                 service, runners, now_s, gone_s=gone_s, rates=rates
             )
 
--- a/limpetroute/forwarding/fleet_view.py
+++ b/limpetroute/forwarding/fleet_view.py
@@ -5,9 +5,9 @@
 import typing
 
 from limpetroute.forwarding import dialect as dialect_module
+from limpetroute.routing import config_fragments
 from limpetroute.routing import route_plan
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_load
 
@@ -62,7 +62,7 @@
             known = self.loads[runner_id] = runner_load.RunnerLoad()
         return known
 
-    def take(self, body: typing.Mapping[str, typing.Any]) -> bool:
+    def apply_runners(self, body: typing.Mapping[str, typing.Any]) -> bool:
         """Take what a control host says of runners; return if newer."""
         index = int(body['index'])
         if index <= self.index:
@@ -75,11 +75,13 @@
             self._by_service.setdefault(one.service, []).append(one)
         return True
 
-    def prepare(self, parts: typing.Sequence[routes_parts.Part]) -> None:
+    def prepare(
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
+    ) -> None:
         """Decode parts of routes that will be in force."""
         self._dialect.prepare_plan(parts)
 
-    def take_routes(self, copy: routes_copy.RoutesCopy) -> None:
+    def apply_routes(self, copy: routes_copy.RoutesCopy) -> None:
         """Put a routing configuration in force, unless it is older."""
         if copy.version <= self.routes.version:
             return
--- a/limpetroute/forwarding/runner_call.py
+++ b/limpetroute/forwarding/runner_call.py
@@ -65,7 +65,7 @@
         return self._link.headers
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the response arrived to its end."""
         return self._link.whole
 
@@ -79,7 +79,7 @@
     async def open(
         self,
         request: caller_request.CallerRequest,
-        note: dialect_module.SendNote,
+        note: dialect_module.SendOptions,
     ) -> SendFailure | None:
         """Send the request and return once usable headers are here."""
         failed = await self._link.send(
@@ -87,21 +87,21 @@
             path=request.target,
             headers=self._dialect.runner_headers(request, note),
             body=request.body,
-            timeout_s=max(note.left_s, 0.001),
+            timeout_s=max(note.remaining_s, 0.001),
             connect_tries_s=CONNECT_TRIES_S,
         )
         if failed is not None:
             return SendFailure(result=_result(failed), detail=failed.detail)
-        if self._dialect.refused(self.status, self.headers):
+        if self._dialect.is_refusal(self.status, self.headers):
             self.close()
             result = send_result.SendResult.REFUSED
-            if self._dialect.misdirected(self.status):
+            if self._dialect.is_misdirected(self.status):
                 result = send_result.SendResult.MISDIRECTED
             return SendFailure(
                 result=result,
                 detail=f'status {self.status}',
             )
-        if not self._dialect.belongs(request, self.headers):
+        if not self._dialect.belongs_to(request, self.headers):
             # A late second answer to another request; passed on, one
             # caller would read what is another's.
             self.close()
@@ -126,7 +126,7 @@
             return SendFailure(
                 result=send_result.SendResult.TIMED_OUT, detail='in the body'
             )
-        if not self.whole:
+        if not self.is_complete:
             return SendFailure(
                 result=send_result.SendResult.BROKEN, detail='in the body'
             )
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -7,6 +7,7 @@
 
 from limpetroute.border import forwarder_settings
 from limpetroute.control import seeds as seeds_module
+from limpetroute.forwarding import admin_server
 from limpetroute.forwarding import control_watch
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import fleet_view
@@ -14,12 +15,11 @@
 from limpetroute.forwarding import forward_meters
 from limpetroute.forwarding import forwarder as forwarder_module
 from limpetroute.forwarding import front_server
-from limpetroute.forwarding import limit_client
 from limpetroute.forwarding import quarantine_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import scheduler_client
-from limpetroute.forwarding import side_port
+from limpetroute.routing import retry_budget
 from limpetroute.routing import route_plan
-from limpetroute.routing import send_budget
 from limpetroute.telemetry import exports as exports_module
 from limpetroute.wire import caller
 
@@ -71,7 +71,7 @@
         http = caller.Caller(tls=trust.client_tls, token=trust.token)
         places = scheduler_client.SchedulerClient(http=http)
         quarantine = quarantine_client.QuarantineClient(
-            http=http, urls=lambda: self.watch.leader_first()
+            http=http, urls=lambda: self.watch.urls_leader_first()
         )
         self.watch = control_watch.ControlWatch(
             view=self.view,
@@ -84,7 +84,7 @@
             on_leader=self._follow,
         )
         self._places = places
-        self._limits = limit_client.LimitClient(
+        self._limits = rate_limit_client.RateLimitClient(
             http=http,
             view=self.view,
             entry_hosts=lambda: self.watch.entry_hosts,
@@ -92,7 +92,7 @@
         self._context = forward_context.ForwardContext(
             view=self.view,
             watch=self.watch,
-            places=places,
+            scheduler=places,
             quarantine=quarantine,
             limits=self._limits,
             dialect=dialect,
@@ -106,7 +106,7 @@
             forwarder=self.forwarder, dialect=dialect
         )
         self.view.on_plan = self._apply_limits
-        self._side = side_port.SidePort(
+        self._side = admin_server.AdminServer(
             ready_path=ready_path,
             is_ready=self.is_ready,
             metrics=self._exports.text,
@@ -159,10 +159,10 @@
         LOG.info('stopping', extra={'active': self.forwarder.active})
         await asyncio.sleep(OUT_OF_ROTATION_S)
         last_s = begun_s + self.settings.grace_s - LAST_WORD_S
-        self._context.ends_s = last_s
+        self._context.shutdown_s = last_s
         while self.forwarder.active and loop.time() < last_s:
             if loop.time() > last_s - LAST_CALLS_S:
-                self._context.takes_calls = False
+                self._context.accepts_calls = False
                 self._front.stop_listening()
             await asyncio.sleep(LOOK_S)
         self._front.stop_listening()
@@ -177,7 +177,7 @@
         self._limits.follow(leader_url)
 
     def _apply_limits(self, plan: route_plan.RoutePlan) -> None:
-        self._front.apply(plan.limits)
+        self._front.apply_limits(plan.limits)
 
     def _control_urls(self) -> list[str]:
         hosts = [seeds_module.host_of(seed) for seed in self._read_seeds()]
@@ -188,8 +188,8 @@
             for host in hosts
         ]
 
-    def _make_budget(self) -> send_budget.SendBudget:
+    def _make_budget(self) -> retry_budget.RetryBudget:
         budget = self.settings.send_budget
-        return send_budget.SendBudget(
+        return retry_budget.RetryBudget(
             ratio=budget.ratio, slack=budget.slack, window_s=budget.window_s
         )
--- a/limpetroute/routing/memory_profile.py
+++ b/limpetroute/routing/memory_profile.py
@@ -3,7 +3,7 @@
 import bisect
 import typing
 
-from limpetroute.routing import decode_room
+from limpetroute.routing import memory_forecast
 
 # A stream that outlasts its estimate has its end moved on bit by bit. The
 # profile follows in steps of this length.
@@ -18,7 +18,7 @@
 
     Parameters
     ----------
-    streams : iterable of StreamOutlook
+    streams : iterable of MemoryForecast
         The streams of one runner.
     now_s : float
         A steady clock.
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        streams: typing.Iterable[decode_room.StreamOutlook],
+        streams: typing.Iterable[memory_forecast.MemoryForecast],
         now_s: float,
     ) -> None:
         ends = [(max(now_s, one.ends_s(now_s)), one) for one in streams]
@@ -35,10 +35,10 @@
         self.ends_s = [end_s for end_s, _ in ends]
         self._totals = self._totals_at_ends(now_s)
         later = bisect.bisect_right(self.ends_s, now_s)
-        self.fresh_until_s = float('inf')
+        self.valid_until_s = float('inf')
         if self.ends_s:
             first_s = self.ends_s[min(later, len(self.ends_s) - 1)]
-            self.fresh_until_s = max(first_s, now_s + OVERDUE_STEP_S)
+            self.valid_until_s = max(first_s, now_s + OVERDUE_STEP_S)
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(ends_s={self.ends_s!r})'
@@ -49,7 +49,7 @@
         return self._totals[0] if self._totals else 0.0
 
     def peak_with(
-        self, stream: decode_room.StreamOutlook, now_s: float
+        self, stream: memory_forecast.MemoryForecast, now_s: float
     ) -> float:
         """Return the most memory that is taken with another stream.
 
--- a/limpetroute/routing/start_wait.py
+++ b/limpetroute/routing/startup_wait.py
@@ -2,15 +2,15 @@
 
 # Hosts that lost power together: control hosts start and elect a leader
 # within 0.9 to 1.3 s of their entry hosts' first request.
-LONGEST_WAIT_S = 1.3
+MAX_WAIT_S = 1.3
 # A host that has heard nothing for longer is cut off, and what it waits
 # for may not come.
-YOUNG_S = 3.0
+STARTUP_S = 3.0
 # Of the time that a caller gives. Plain callers give three seconds.
-PATIENCE_PART = 1 / 4
+DEADLINE_SHARE = 1 / 4
 
 
-def longest_wait_s(*, age_s: float, patience_s: float | None) -> float:
+def max_wait_s(*, age_s: float, deadline_s: float | None) -> float:
     """Return how long a request may wait for the first configuration.
 
     Pattern: all hosts lose power or are killed together. Callers failed
@@ -27,8 +27,8 @@
     patience_s : float or None
         Time that the caller gives; None if it does not say.
     """
-    if age_s > YOUNG_S:
+    if age_s > STARTUP_S:
         return 0.0
-    if patience_s is None:
-        return LONGEST_WAIT_S
-    return min(LONGEST_WAIT_S, patience_s * PATIENCE_PART)
+    if deadline_s is None:
+        return MAX_WAIT_S
+    return min(MAX_WAIT_S, deadline_s * DEADLINE_SHARE)
--- a/tests/control/measure_processes.py
+++ b/tests/control/measure_processes.py
@@ -11,7 +11,7 @@
 import tempfile
 import time
 
-from limpetroute.control import http_claim_book
+from limpetroute.control import http_claim_store
 from tests.control import measure
 from tests.control import process_fleet
 
@@ -49,7 +49,7 @@
 
 
 async def claims(fleet, workers):
-    book = http_claim_book.HttpClaimBook(client=fleet.client())
+    store = http_claim_store.HttpClaimStore(client=fleet.client())
     took_s = []
     until_s = time.monotonic() + LOAD_S
 
@@ -58,7 +58,7 @@
         while time.monotonic() < until_s:
             number += 1
             began_s = time.perf_counter()
-            await book.claim(
+            await store.claim(
                 team='t',
                 key=f'{workers}-{worker}-{number}',
                 body_digest='d',
@@ -81,11 +81,11 @@
         await claims(fleet, workers)
     body = measure.manifest().model_dump_json().encode()
     began_s = time.monotonic()
-    got = await fleet.client().ask(
+    got = await fleet.client().post(
         path='/v1/manifest?wait_s=15',
         body=body,
         timeout_s=30.0,
-        extra_wait_s=15.0,
+        server_wait_s=15.0,
     )
     took_s = time.monotonic() - began_s
     print(
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -52,22 +52,20 @@
             runners=Table(rows),
             routes=types.SimpleNamespace(digest='x'),
             routes_index=1,
-            recent_routes=types.SimpleNamespace(is_cut=lambda digest: True),
+            recent_routes=types.SimpleNamespace(is_split=lambda digest: True),
             routes_copy=lambda: types.SimpleNamespace(parts=()),
         )
         node = types.SimpleNamespace(
             settings=types.SimpleNamespace(host_id='c1'),
             config=types.SimpleNamespace(replica=self.replica, state=state),
         )
-        dialect = orders.Orders()
-        dialect.read_services = lambda parts: [service]
-        self.dispatcher = dispatcher_module.Dispatcher(
-            node=node, dialect=dialect
-        )
+        codec = orders.Orders()
+        codec.parse_services = lambda parts: [service]
+        self.dispatcher = dispatcher_module.Dispatcher(node=node, codec=codec)
 
     async def place(self, name, **fields):
-        ask = builders.make_ask(name, **fields)
-        return await self.dispatcher.place(ask)
+        ask = builders.make_request(name, **fields)
+        return await self.dispatcher.request_placement(ask)
 
 
 def count_decisions(monkeypatch):
@@ -105,7 +103,7 @@
 
 def test_a_decision_leaves_the_loop_to_others_before_the_rest(monkeypatch):
     """Heartbeats waited until a whole burst was placed."""
-    monkeypatch.setattr(stream_scheduler, 'MOST_ROOM_CHECKS', 1)
+    monkeypatch.setattr(stream_scheduler, 'MAX_FIT_CHECKS', 1)
     decisions = count_decisions(monkeypatch)
     ticks = []
 
@@ -167,11 +165,11 @@
         first = []
         for n in range(24):
             first.append(await leader.place(f's{n}', output_tokens=300))
-            leader.dispatcher.read('model', f's{n}', 0)
+            leader.dispatcher.note_prefill_done('model', f's{n}', 0)
         waits = asyncio.create_task(leader.place('next', target_s=9.0))
         await asyncio.sleep(0.02)
         assert not waits.done()
-        leader.dispatcher.end(
+        leader.dispatcher.release(
             'model', placement.Release(request_id=first[0].request_id)
         )
         return await asyncio.wait_for(waits, 1.0)
