--- a/limpetroute/decisions/__init__.py
+++ b/limpetroute/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions under load: no network, no clock."""
+"""Scheduling decisions under load: no network, no clock."""
