--- a/limpetroute/agreement/log.py
+++ b/limpetroute/agreement/log.py
@@ -1,4 +1,4 @@
-"""The log in memory, after its snapshot."""
+"""Replicated log in memory, on top of a snapshot."""
 
 import typing
 
@@ -8,14 +8,14 @@
 
 
 class Log:
-    """The log in memory, after its snapshot.
+    """Replicated log in memory, on top of a snapshot.
 
     Parameters
     ----------
     snapshot : Snapshot
-        State in place of all entries up to its last.
+        State that stands for all entries up to its last index.
     entries : iterable of Entry
-        Entries after it, without gaps.
+        Entries after the snapshot, without gaps.
     """
 
     __slots__ = ('_entries', '_memberships', 'snapshot')
@@ -29,8 +29,8 @@
         self.snapshot = snapshot
         self._entries: list[entry_module.Entry] = []
         self._memberships: list[tuple[int, membership_module.Membership]] = []
-        for one in entries:
-            self.append(one)
+        for entry in entries:
+            self.append(entry)
 
     def __repr__(self) -> str:
         return (
@@ -40,7 +40,7 @@
 
     @property
     def base_index(self) -> int:
-        """Last index that the snapshot stands for."""
+        """Last index that the snapshot covers."""
         return self.snapshot.last_index
 
     @property
@@ -57,7 +57,7 @@
 
     @property
     def membership(self) -> membership_module.Membership:
-        """The newest membership; it holds from when it is appended."""
+        """Newest membership; it takes effect when it is appended."""
         if self._memberships:
             return self._memberships[-1][1]
         return self.snapshot.membership
@@ -71,49 +71,48 @@
 
     def membership_at(self, index: int) -> membership_module.Membership:
         """Return the membership as of an index."""
-        found = self.snapshot.membership
-        for place, membership in self._memberships:
-            if place <= index:
-                found = membership
-        return found
+        membership_at_index = self.snapshot.membership
+        for position, membership in self._memberships:
+            if position <= index:
+                membership_at_index = membership
+        return membership_at_index
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index, or None if it is not here."""
+        """Return the term at an index, or None if it is not in the log."""
         if index == self.base_index:
             return self.snapshot.last_term
         if not self.base_index < index <= self.last_index:
             return None
         return self._entries[index - self.base_index - 1].term
 
-    def before_term(self, index: int, term: int, floor: int) -> int:
-        """Return the last index below ``index`` of another term.
+    def last_index_before_term(self, index: int, term: int, floor: int) -> int:
+        """Return the last index before the entries of ``term``.
 
-        Not below ``floor``: a leader that goes back past a whole term
-        at a time finds a common entry in few messages.
+        The search goes back from ``index`` and not below ``floor``. A
+        leader that skips a whole term at a time finds the last common
+        entry in few messages.
         """
         while index > floor and self.term_at(index) == term:
             index -= 1
         return index
 
-    def first_fresh(
-        self, entries: tuple[entry_module.Entry, ...]
-    ) -> int | None:
-        """Return the place of the first entry that is not here."""
-        for place, one in enumerate(entries):
-            if one.index <= self.base_index:
+    def first_new(self, entries: tuple[entry_module.Entry, ...]) -> int | None:
+        """Return the position of the first entry not in the log."""
+        for position, entry in enumerate(entries):
+            if entry.index <= self.base_index:
                 continue
-            if self.term_at(one.index) != one.term:
-                return place
+            if self.term_at(entry.index) != entry.term:
+                return position
         return None
 
     def between(
         self, first_index: int, last_index: int
     ) -> tuple[entry_module.Entry, ...]:
-        """Return entries, both ends included."""
+        """Return the entries from one index to another, inclusive."""
         start = first_index - self.base_index - 1
         return tuple(self._entries[start : last_index - self.base_index])
 
-    def append(self, one: entry_module.Entry) -> None:
+    def append(self, entry: entry_module.Entry) -> None:
         """Append the next entry.
 
         Raises
@@ -121,14 +120,14 @@
         ValueError
             If its index is not the next.
         """
-        if one.index != self.last_index + 1:
+        if entry.index != self.last_index + 1:
             raise ValueError(
-                f'index {one.index!r} does not follow {self.last_index!r}'
+                f'index {entry.index!r} does not follow {self.last_index!r}'
             )
-        self._entries.append(one)
-        if one.kind is entry_module.EntryKind.MEMBERS:
-            decoded = membership_module.Membership.decode(one.data)
-            self._memberships.append((one.index, decoded))
+        self._entries.append(entry)
+        if entry.kind is entry_module.EntryKind.MEMBERS:
+            decoded = membership_module.Membership.decode(entry.data)
+            self._memberships.append((entry.index, decoded))
 
     def truncate(self, index: int) -> None:
         """Drop the entry at ``index`` and all after it."""
@@ -138,7 +137,7 @@
         ]
 
     def compact(self, snapshot: snapshot_module.Snapshot) -> None:
-        """Put a snapshot in place of the entries up to its last."""
+        """Replace the entries that a snapshot covers by the snapshot."""
         del self._entries[: snapshot.last_index - self.base_index]
         self._memberships = [
             pair for pair in self._memberships if pair[0] > snapshot.last_index
