--- a/limpetroute/forwarding/caller_request.py
+++ b/limpetroute/forwarding/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the forwarder works with it."""
+"""A decoded request of a caller."""
 
 import dataclasses
 import functools
@@ -10,20 +10,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Generation:
-    """What a request asks a model for.
+    """Sizes of a request to a model.
 
     Parameters
     ----------
     prompt_tokens : int
         Tokens of the prompt.
     max_output_tokens : int
-        Most tokens of the answer.
+        Maximum number of tokens of the answer.
     expected_output_tokens : int
-        The caller's estimate, right at the median and often far off;
-        the most where it gives none.
+        The caller's estimate, correct at the median and often far off;
+        the maximum if the caller gives no estimate.
     prompt_id : str
-        Names the prompt; the same when its caller asks again. Empty if
-        unknown.
+        Identity of the prompt, equal in all attempts of its caller.
+        Empty if unknown.
     """
 
     prompt_tokens: int
@@ -33,34 +33,35 @@
 
     @property
     def peak_tokens(self) -> int:
-        """Most tokens of KV memory that it takes."""
+        """Maximum number of tokens of KV memory that the request uses."""
         return self.prompt_tokens + self.max_output_tokens
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerRequest:
-    """A caller's request as the forwarder works with it.
+    """A decoded request of a caller.
 
     Parameters
     ----------
     request_id : str
-        Names this attempt of the caller; empty if it gave none.
+        Identity of this attempt of the caller; empty if it sent none.
     method, target, host : str
-        As on the request line; ``target`` is path and query.
+        Method, path with query, and ``Host`` header.
     headers : HTTPHeaders
-        As they came.
+        All headers, as received.
     body : bytes
-        The whole body.
+        The complete body.
     received_s : float
-        When its headers were read, by the event loop's clock.
+        When the headers were read, by the event loop's clock.
     deadline_s : float or None
-        How long the caller waits, counted from ``received_s``.
+        How long the caller waits, in seconds from ``received_s``.
     generation : Generation or None
-        None for a plain request.
+        Sizes of a request to a model; None for a plain request.
     resume_after : str
-        The last event that the caller has; empty to begin.
+        Identity of the last event that the caller has received; empty
+        for a new stream.
     caller : str
-        Its caller's credentials; empty where callers have none.
+        The caller's credentials; empty if it sent none.
     """
 
     request_id: str
@@ -82,7 +83,7 @@
 
     @functools.cached_property
     def fingerprint(self) -> str:
-        """What all attempts at this request share; hashes the body."""
+        """Hash that all attempts at this request share."""
         return fingerprint.fingerprint(
             host=self.host,
             path=self.path,
--- a/limpetroute/forwarding/control_watch.py
+++ b/limpetroute/forwarding/control_watch.py
@@ -1,4 +1,4 @@
-"""The task that follows one control host at a time."""
+"""Follows one control host at a time for updates."""
 
 import asyncio
 import logging
@@ -14,35 +14,36 @@
 
 LOG = logging.getLogger(__name__)
 
-# A control host holds a call for WAIT_S while nothing changes. One that
-# has not answered MARGIN_S after that is silent or gone; the next is
-# asked. Together they stay well under the 2 s within which a change
-# must be in force here.
-WAIT_S = 0.5
-MARGIN_S = 0.4
-PAUSE_S = 0.05
-# An answer that comes slowly, but comes, is not given up: asked for again
-# elsewhere, it would begin anew. Answers are bounded, so this is long.
+# A control host holds a request for LONG_POLL_S while nothing changes. If
+# it has not responded RESPONSE_MARGIN_S after that, it counts as failed
+# and this host follows the next one. The sum stays well below the 2 s
+# within which a change must be in force here.
+LONG_POLL_S = 0.5
+RESPONSE_MARGIN_S = 0.4
+RETRY_DELAY_S = 0.05
+# A slow response that makes progress is not abandoned, because another
+# control host would send it again from the start. The size of responses
+# is bounded, so this timeout can be long.
 BODY_TIMEOUT_S = 3.0
 
 
 class ControlWatch:
-    """The task that follows one control host at a time.
+    """Follows one control host at a time for updates.
 
     Parameters
     ----------
     view : FleetView
-        Takes what is heard.
+        Receives the runners and routes.
     http : Caller
         Makes the calls.
     urls : callable
         Returns the control hosts of the settings, which may change.
     host_id : str
-        This host, as control hosts count it.
+        Identity under which control hosts count this host.
     quarantine : QuarantineClient
-        Takes which requests are quarantined.
+        Receives the quarantined requests.
     on_leader : callable
-        Told the address of the control host that leads.
+        Called with the address of the leading control host.
     """
 
     def __init__(
@@ -59,15 +60,15 @@
         self._quarantine = quarantine
         self._view = view
         self._http = http
-        self._settings_urls = urls
+        self._seed_urls = urls
         self._host_id = host_id
-        self._heard_urls: list[str] = []
-        self._next = sum(host_id.encode())
+        self._received_urls: list[str] = []
+        self._next_index = sum(host_id.encode())
         self._following = ''
         self._leader_url = ''
         self.last_received_s = 0.0
-        self._asked_s = 0.0
-        self._failed_asks = 0
+        self._request_started_s = 0.0
+        self._failed_requests = 0
         self.entry_hosts = 1
         self._task: asyncio.Task[None] | None = None
         self._loader = routes_loader.RoutesLoader(
@@ -78,74 +79,76 @@
         return f'{type(self).__name__}(following={self._following!r})'
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow control hosts."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """End."""
+        """Stop following and loading routes."""
         if self._task is not None:
             self._task.cancel()
         self._loader.stop()
 
     async def _run(self) -> None:
         while True:
-            url = self._following or self._pick()
+            url = self._following or self._next_url()
             if not url:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            self._asked_s = asyncio.get_running_loop().time()
-            why_not = await self._ask(url)
-            if not why_not:
+            self._request_started_s = asyncio.get_running_loop().time()
+            failure = await self._poll(url)
+            if not failure:
                 self._note_following(url)
                 continue
-            self._note_lost(url, why_not)
-            await asyncio.sleep(PAUSE_S)
+            self._stop_following(url, failure)
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    def _pick(self) -> str:
-        """Return the next host to try, the known ones before the seeds.
+    def _next_url(self) -> str:
+        """Return the next control host to try, or an empty string.
 
-        Seeds may be stale, and what control hosts say of each other may
-        be too: both lists are tried in turn until one answers.
+        Both the seeds and the addresses that control hosts send may be
+        stale, so all of them are tried in turn until a host responds.
         """
         urls = self._known_urls()
         if not urls:
             return ''
-        self._next += 1
-        return urls[self._next % len(urls)]
+        self._next_index += 1
+        return urls[self._next_index % len(urls)]
 
     def urls_leader_first(self) -> list[str]:
-        """Return all control hosts, the one that leads first."""
-        first = [self._leader_url] if self._leader_url else []
-        return list(dict.fromkeys([*first, *self._known_urls()]))
+        """Return all control hosts, the leader first."""
+        preferred = [self._leader_url] if self._leader_url else []
+        return list(dict.fromkeys([*preferred, *self._known_urls()]))
 
     def _known_urls(self) -> list[str]:
-        """Return all control hosts, the one that is followed first."""
-        first = [self._following] if self._following else []
+        """Return all control hosts, the followed one first."""
+        preferred = [self._following] if self._following else []
         return list(
-            dict.fromkeys([*first, *self._heard_urls, *self._settings_urls()])
+            dict.fromkeys(
+                [*preferred, *self._received_urls, *self._seed_urls()]
+            )
         )
 
-    async def _ask(self, url: str) -> str:
-        """Ask once; return why nothing was heard, or nothing."""
-        got = await self._http.call(
+    async def _poll(self, url: str) -> str:
+        """Request updates once; return an error or an empty string."""
+        reply = await self._http.call(
             method='GET',
             url=(
                 f'{url}/v1/watch?after={self._view.index}'
                 f'&version={self._loader.version}'
                 f'&held={self._view.routes.digest}'
-                f'&wait_s={WAIT_S}&host={self._host_id}'
+                f'&wait_s={LONG_POLL_S}&host={self._host_id}'
                 f'&leader={self._leader_url}'
             ),
-            timeout_s=WAIT_S + MARGIN_S,
+            timeout_s=LONG_POLL_S + RESPONSE_MARGIN_S,
             body_timeout_s=BODY_TIMEOUT_S,
-            idle_timeout_s=MARGIN_S,
+            idle_timeout_s=RESPONSE_MARGIN_S,
         )
-        if isinstance(got, call_failed.CallFailed):
-            return f'{got.kind.value} after {got.received_bytes} bytes'
-        if not got.ok:
-            return f'status {got.status}'
+        if isinstance(reply, call_failed.CallFailed):
+            return f'{reply.kind.value} after {reply.received_bytes} bytes'
+        if not reply.ok:
+            return f'status {reply.status}'
         try:
-            body = got.json()
+            body = reply.json()
             in_touch = bool(body['in_touch'])
             if in_touch:
                 is_newer = self._view.apply_runners(body)
@@ -160,21 +163,21 @@
                     self._quarantine.update(quarantined)
                 self._leader_url = str(body['leader_url'])
                 self._on_leader(self._leader_url)
-                self._heard_urls = [str(one) for one in body['urls']]
+                self._received_urls = [str(one) for one in body['urls']]
                 self.entry_hosts = max(1, int(body['entry_hosts']))
         except (ValueError, KeyError, TypeError) as exc:
             LOG.error(
-                'control host answers with nonsense',
+                'invalid response of a control host',
                 extra={'url': url, 'reason': str(exc)},
             )
             return 'nonsense'
         if not in_touch:
-            return 'it is out of touch'
+            return 'out of touch with its group'
         self.last_received_s = asyncio.get_running_loop().time()
         return ''
 
     def _note_following(self, url: str) -> None:
-        self._failed_asks = 0
+        self._failed_requests = 0
         if url == self._following:
             return
         LOG.info(
@@ -183,31 +186,33 @@
         )
         self._following = url
 
-    def _note_lost(self, url: str, reason: str) -> None:
-        """Write why a control host gave no news.
+    def _stop_following(self, url: str, reason: str) -> None:
+        """Leave a control host and log why the request to it failed.
 
-        Who hears of no host for long shows it by one line for each
-        doubling of the calls that failed, not by one for each call.
+        During a long outage there is one log line for each doubling of
+        the failed requests, not one for each request.
         """
-        self._failed_asks += 1
-        if self._failed_asks.bit_count() == 1:
-            took_s = asyncio.get_running_loop().time() - self._asked_s
+        self._failed_requests += 1
+        if self._failed_requests.bit_count() == 1:
+            took_s = (
+                asyncio.get_running_loop().time() - self._request_started_s
+            )
             LOG.info(
                 'lost the control host',
                 extra={
                     'url': url,
                     'reason': reason,
                     'took_ms': round(took_s * 1000),
-                    'failed_asks': self._failed_asks,
-                    'silent_ms': self._silent_ms(),
+                    'failed_asks': self._failed_requests,
+                    'silent_ms': self._silence_ms(),
                     'index': self._view.index,
                 },
             )
         self._following = ''
 
-    def _silent_ms(self) -> int | None:
-        """Return how long nothing was heard; None from the start on."""
+    def _silence_ms(self) -> int | None:
+        """Return the time since the last update, None before the first."""
         if not self.last_received_s:
             return None
-        silent_s = asyncio.get_running_loop().time() - self.last_received_s
-        return round(silent_s * 1000)
+        silence_s = asyncio.get_running_loop().time() - self.last_received_s
+        return round(silence_s * 1000)
--- a/limpetroute/forwarding/crash_check.py
+++ b/limpetroute/forwarding/crash_check.py
@@ -1,4 +1,4 @@
-"""Tells a runner that has ended from one that broke an answer off."""
+"""Distinguishes a crashed runner from one that broke off a response."""
 
 from limpetroute.forwarding import fleet_view
 from limpetroute.routing import runner_info
@@ -10,15 +10,16 @@
 async def has_crashed(
     runner: runner_info.RunnerInfo, view: fleet_view.FleetView
 ) -> bool:
-    """Return whether a runner that broke off has ended unannounced.
+    """Return whether a runner that broke off has crashed.
 
-    Its host refuses connections then. A runner that is cut off answers
-    nothing, and one that was told to leave has said so.
+    The host of a crashed runner refuses connections. A runner that is cut
+    off by the network does not respond at all, and a runner that was told
+    to leave has announced it.
     """
-    known = view.runner(runner.runner_id)
-    if known is None or not known.ready:
+    current = view.runner(runner.runner_id)
+    if current is None or not current.ready:
         return False
-    if known.started_ms != runner.started_ms:
+    if current.started_ms != runner.started_ms:
         return False
     link = connection.Connection(host=runner.host, port=runner.port)
     try:
--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -1,4 +1,4 @@
-"""How callers and runners are spoken to."""
+"""Formats of the requests and responses of callers and runners."""
 
 import dataclasses
 import typing
@@ -18,9 +18,9 @@
     Parameters
     ----------
     address : str
-        The runner that read the prompt.
+        Address of the prefill runner.
     handle : str
-        Its name of the result.
+        The prefill runner's handle of the KV cache.
     """
 
     address: str
@@ -29,20 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SendOptions:
-    """What a runner is told beside the caller's own request.
+    """What this host adds to a caller's request to a runner.
 
     Parameters
     ----------
     remaining_s : float
         Time left for the answer.
     runner_id : str
-        The runner that is meant; another one at its address refuses.
+        The intended runner; another runner at its address refuses.
     prefill_only : bool
-        Whether only the prompt is read.
+        Whether the runner only prefills the prompt.
     kv_source : KvSource or None
-        Where the prompt's KV cache is.
+        Where the prompt's KV cache is; None if there is none.
     resume_after : str or None
-        Event to go on after; None for what the caller asked.
+        Event after which the stream resumes; None keeps the caller's
+        own header.
     """
 
     remaining_s: float
@@ -53,7 +54,7 @@
 
 
 class Dialect(typing.Protocol):
-    """How callers and runners are spoken to: names and formats."""
+    """Formats of the requests and responses of callers and runners."""
 
     def read_request(
         self,
@@ -73,13 +74,14 @@
         """Return whether a runner proves that it did not run a request."""
 
     def is_misdirected(self, status: int) -> bool:
-        """Return whether another runner than the one meant answers."""
+        """Return whether another runner than the intended one responded."""
 
     def rate_limit_text(self, headers: httputil.HTTPHeaders) -> str | None:
-        """Return the limit that a runner names, as it wrote it.
+        """Return the rate limit that a runner announces, as received.
 
-        Requests a second that it takes from all hosts together, for as
-        long as its answers say so; None where it names none.
+        The limit is in requests per second from all hosts together and
+        holds until a response announces another one or none. None if the
+        response announces no limit.
         """
 
     def belongs_to(
@@ -87,28 +89,34 @@
         request: caller_request.CallerRequest,
         headers: httputil.HTTPHeaders,
     ) -> bool:
-        """Return whether a response is the one to this request."""
+        """Return whether a response belongs to this request."""
 
     def caller_headers(
         self, headers: httputil.HTTPHeaders
     ) -> httputil.HTTPHeaders:
-        """Return what of a runner's headers the caller gets."""
+        """Return the headers of a runner's response for the caller."""
 
     def local_reply_headers(
         self, request: caller_request.CallerRequest
     ) -> httputil.HTTPHeaders:
-        """Return the headers of an answer of this host's own."""
+        """Return the headers of a response that this host generates."""
 
     def read_handle(self, body: bytes) -> str:
-        """Return the handle of a prefill's result; `ValueError` if none."""
+        """Return the KV cache handle from a prefill response.
+
+        Raises
+        ------
+        ValueError
+            If there is no handle in the body.
+        """
 
     def free_handle_call(
         self, handle: str, runner_id: str
     ) -> small_call.SmallCall:
-        """Return the call that frees a prefill's result."""
+        """Return the call that frees a prefill runner's KV cache."""
 
     def prepare_plan(self, parts: typing.Iterable[routes_parts.Part]) -> None:
-        """Decode parts ahead, so that `read_plan` of them is short."""
+        """Decode fragments ahead, to make a later `read_plan` short."""
 
     def read_plan(
         self, parts: typing.Sequence[routes_parts.Part]
--- a/limpetroute/forwarding/event_splitter.py
+++ b/limpetroute/forwarding/event_splitter.py
@@ -1,20 +1,21 @@
-"""Cuts a stream into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 _ID = b'id:'
 _END = b'\n\n'
 
 
 class EventSplitter:
-    """Cuts a stream into whole events, across the borders of its parts.
+    """Splits a stream of server-sent events into complete events.
 
-    A runner that crashes may stop in the middle of an event. Only whole
-    ones are passed on, so that what another runner adds begins cleanly.
+    A runner that crashes may stop in the middle of an event. Only
+    complete events are relayed, so that the next runner's events start
+    at an event boundary.
     """
 
-    __slots__ = ('_rest', 'count', 'last_id')
+    __slots__ = ('_partial', 'count', 'last_id')
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._partial = b''
         self.last_id = ''
         self.count = 0
 
@@ -22,30 +23,30 @@
         return f'{type(self).__name__}(last_id={self.last_id!r})'
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are complete with this part."""
-        data = self._rest + data
+        """Return the events that are complete with this chunk."""
+        data = self._partial + data
         end = max(data.rfind(b'\n\n') + 2, data.rfind(b'\r\n\r\n') + 4)
         if end < 4 and not data.endswith(b'\n\n'):
             end = 0
-        whole, self._rest = data[:end], data[end:]
-        self.count += whole.count(_END)
-        self._note_id(whole)
-        return whole
+        complete, self._partial = data[:end], data[end:]
+        self.count += complete.count(_END)
+        self._record_last_id(complete)
+        return complete
 
     def take_remainder(self) -> bytes:
-        """Return what is left of a stream that ended well."""
-        rest, self._rest = self._rest, b''
-        return rest
+        """Return and clear the rest of a stream that ended normally."""
+        remainder, self._partial = self._partial, b''
+        return remainder
 
     def discard_partial(self) -> None:
-        """Forget a part of an event."""
-        self._rest = b''
+        """Discard an incomplete event."""
+        self._partial = b''
 
-    def _note_id(self, whole: bytes) -> None:
-        at = whole.rfind(_ID)
-        while at > 0 and whole[at - 1 : at] != b'\n':
-            at = whole.rfind(_ID, 0, at)
+    def _record_last_id(self, complete: bytes) -> None:
+        at = complete.rfind(_ID)
+        while at > 0 and complete[at - 1 : at] != b'\n':
+            at = complete.rfind(_ID, 0, at)
         if at < 0:
             return
-        line = whole[at + len(_ID) :].split(b'\n', 1)[0]
+        line = complete[at + len(_ID) :].split(b'\n', 1)[0]
         self.last_id = line.strip().decode('latin1')
--- a/limpetroute/forwarding/fleet_view.py
+++ b/limpetroute/forwarding/fleet_view.py
@@ -1,4 +1,4 @@
-"""What this host knows of routes, runners and control hosts."""
+"""The routes and runners that this host has received."""
 
 import json
 import logging
@@ -18,11 +18,11 @@
 
 
 class FleetView:
-    """What this host knows of routes, runners and control hosts.
+    """The routes and runners that this host has received.
 
-    It only moves forward: what an earlier place in the log says is
-    dropped, so a control host that has fallen behind cannot bring an
-    older configuration or a runner that left back.
+    The view ignores updates that are not newer than its log index or
+    configuration version. A control host that has fallen behind therefore
+    cannot restore an old configuration or a runner that has left.
 
     Parameters
     ----------
@@ -36,7 +36,9 @@
         self.routes = routes_copy.RoutesCopy()
         self.plan: route_plan.RoutePlan | None = None
         self.loads: dict[str, runner_load.RunnerLoad] = {}
-        self.on_plan: typing.Callable[[route_plan.RoutePlan], None] = _ignore
+        self.on_plan: typing.Callable[[route_plan.RoutePlan], None] = (
+            _ignore_plan
+        )
         self._runners: dict[str, runner_info.RunnerInfo] = {}
         self._by_service: dict[str, list[runner_info.RunnerInfo]] = {}
 
@@ -56,19 +58,22 @@
         return self._runners.get(runner_id)
 
     def load(self, runner_id: str) -> runner_load.RunnerLoad:
-        """Return what is known of a runner's load."""
-        known = self.loads.get(runner_id)
-        if known is None:
-            known = self.loads[runner_id] = runner_load.RunnerLoad()
-        return known
+        """Return the load record of a runner, a new one if necessary."""
+        info = self.loads.get(runner_id)
+        if info is None:
+            info = self.loads[runner_id] = runner_load.RunnerLoad()
+        return info
 
     def apply_runners(self, body: typing.Mapping[str, typing.Any]) -> bool:
-        """Take what a control host says of runners; return if newer."""
+        """Apply a control host's runner rows; return whether they are newer.
+
+        Rows up to the log index of this view are ignored.
+        """
         index = int(body['index'])
         if index <= self.index:
             return False
         for row in body['runners']:
-            self._take_runner(row)
+            self._apply_runner(row)
         self.index = index
         self._by_service = {}
         for one in self._runners.values():
@@ -76,7 +81,7 @@
         return True
 
     def prepare(self, parts: typing.Sequence[routes_parts.Part]) -> None:
-        """Decode parts of routes that will be in force."""
+        """Decode fragments of a configuration before it is in force."""
         self._dialect.prepare_plan(parts)
 
     def apply_routes(self, copy: routes_copy.RoutesCopy) -> None:
@@ -95,25 +100,25 @@
             },
         )
 
-    def _take_runner(self, row: typing.Mapping[str, typing.Any]) -> None:
+    def _apply_runner(self, row: typing.Mapping[str, typing.Any]) -> None:
         runner_id = row['runner_id']
         if row['state'] == STATE_GONE:
             self._runners.pop(runner_id, None)
             self.loads.pop(runner_id, None)
         else:
-            before = self._runners.get(runner_id)
-            known = runner_info.from_detail(
+            previous = self._runners.get(runner_id)
+            info = runner_info.from_detail(
                 runner_id=runner_id,
                 address=row['address'],
                 ready=row['state'] == STATE_READY,
                 detail=row['text'],
             )
-            if before is not None and before.started_ms != known.started_ms:
-                # What was learned of its life before says nothing now.
+            if previous is not None and previous.started_ms != info.started_ms:
+                # The load of the runner before its restart is outdated.
                 self.loads.pop(runner_id, None)
-            self._runners[runner_id] = known
+            self._runners[runner_id] = info
         LOG.info(
-            'runner known',
+            'runner updated',
             extra={
                 'runner': runner_id,
                 'address': row['address'],
@@ -123,5 +128,5 @@
         )
 
 
-def _ignore(plan: route_plan.RoutePlan) -> None:
-    """Stand in for a listener."""
+def _ignore_plan(plan: route_plan.RoutePlan) -> None:
+    """Do nothing; the default for `FleetView.on_plan`."""
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -1,4 +1,4 @@
-"""What all forwarding on one host shares."""
+"""State that all requests of a forwarder share."""
 
 import asyncio
 import contextlib
@@ -29,33 +29,33 @@
 
 LOG = logging.getLogger(__name__)
 
-# Result of a send that this host ended itself, in logs and counters.
+# Result of a send that this host cancelled, in logs and counters.
 CUT = 'cut'
 
 
 class ForwardContext:
-    """What all forwarding on one host shares.
+    """State that all requests of a forwarder share.
 
     Parameters
     ----------
     view : FleetView
         Routes and runners.
     watch : ControlWatch
-        Knows how many hosts there are.
+        Returns the number of entry hosts.
     scheduler : SchedulerClient
-        Gives streams their places.
+        Requests placements of streams.
     quarantine : QuarantineClient
-        Knows the requests under which runners crash.
-    limits : LimitClient
-        Keeps to the limits that runners name.
+        Holds the requests that crash runners.
+    limits : RateLimitClient
+        Enforces the rate limits that runners announce.
     dialect : Dialect
-        How callers and runners are spoken to.
+        Formats of requests and responses.
     meters : ForwardMeters
-        Counts.
+        Metrics of the forwarder.
     zone : str
-        The own availability zone.
-    make_budget : callable
-        Makes a service's budget of second sends.
+        Availability zone of this host.
+    make_retry_budget : callable
+        Returns a new retry budget for a service.
     rng : random.Random
         Breaks ties and draws services.
     """
@@ -71,7 +71,7 @@
         dialect: dialect_module.Dialect,
         meters: forward_meters.ForwardMeters,
         zone: str,
-        make_budget: typing.Callable[[], send_budget.SendBudget],
+        make_retry_budget: typing.Callable[[], send_budget.SendBudget],
         rng: random.Random,
     ) -> None:
         self.view = view
@@ -82,21 +82,22 @@
         self.meters = meters
         self.zone = zone
         self.rng = rng
-        # When a host that stops breaks off what is still open.
+        # When a stopping host aborts open requests, by the event loop's
+        # clock.
         self.shutdown_s: float | None = None
-        self._speeds: dict[str, usual_size.UsualSize] = {}
+        self._decode_speeds: dict[str, usual_size.UsualSize] = {}
         self.accepts_calls = True
         self._watch = watch
-        self._make_budget = make_budget
-        self._aside: set[asyncio.Task[None]] = set()
-        self._budgets: dict[str, send_budget.SendBudget] = {}
+        self._make_retry_budget = make_retry_budget
+        self._background_tasks: set[asyncio.Task[None]] = set()
+        self._retry_budgets: dict[str, send_budget.SendBudget] = {}
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(view={self.view!r})'
 
     @property
     def entry_hosts(self) -> int:
-        """Hosts that forward, this one among them, as far as known."""
+        """Known number of entry hosts, including this host."""
         return self._watch.entry_hosts
 
     def accepts_stream(
@@ -104,48 +105,48 @@
         service: service_module.Service,
         generation: caller_request.Generation,
     ) -> bool:
-        """Return whether a stream surely ends before this host does."""
+        """Return whether a stream is sure to end before this host stops."""
         if self.shutdown_s is None:
             return True
         return last_streams.may_take(
             most_tokens=generation.max_output_tokens,
-            tokens_per_s=self._speed(service).mean,
+            tokens_per_s=self._decode_speed(service).mean,
             left_s=self.shutdown_s - _now_s(),
         )
 
-    def note_speed(
+    def note_decode_speed(
         self, service: service_module.Service, tokens_per_s: float
     ) -> None:
-        """Take note of how fast a stream was written."""
-        self._speed(service).note(tokens_per_s)
+        """Record how fast a stream was decoded."""
+        self._decode_speed(service).note(tokens_per_s)
 
     def remaining_s(
         self,
         request: caller_request.CallerRequest,
         route: route_module.Route,
     ) -> float:
-        """Return the time left for an answer, at least 0."""
-        whole_s = route.timeout_s
+        """Return the time left for an answer in seconds, at least 0."""
+        timeout_s = route.timeout_s
         if request.deadline_s is not None:
-            whole_s = min(whole_s, request.deadline_s)
-        spent_s = asyncio.get_running_loop().time() - request.received_s
-        return max(0.0, whole_s - spent_s)
+            timeout_s = min(timeout_s, request.deadline_s)
+        elapsed_s = asyncio.get_running_loop().time() - request.received_s
+        return max(0.0, timeout_s - elapsed_s)
 
     def run_in_background(
         self, work: typing.Coroutine[None, None, None]
     ) -> None:
-        """Run something that no caller waits for."""
+        """Run a coroutine that no caller waits for."""
         task = asyncio.create_task(work)
-        self._aside.add(task)
-        task.add_done_callback(self._aside.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     def note_request(self, service: str) -> None:
         """Count a caller's request for a service."""
-        self._budget(service).note_request(_now_s())
+        self._retry_budget(service).note_request(_now_s())
 
     def take_retry(self, service: str) -> bool:
-        """Take a second send out of a service's budget."""
-        return self._budget(service).take(_now_s(), self.entry_hosts)
+        """Take a retry from a service's budget; return False if empty."""
+        return self._retry_budget(service).take(_now_s(), self.entry_hosts)
 
     def count(
         self,
@@ -153,7 +154,7 @@
         status: int,
         request: caller_request.CallerRequest,
     ) -> None:
-        """Count an answer and the time it took."""
+        """Count an answer and record its time."""
         kind = route.kind.value if route else 'none'
         self.meters.answered(kind, status, _now_s() - request.received_s)
 
@@ -169,9 +170,9 @@
         part: str = 'run',
         **more: object,
     ) -> None:
-        """Write what a send to a runner came to and what follows."""
+        """Log and count the result of a send and the step that follows."""
         self.meters.sent(part, result.value)
-        self._write_sent(
+        self._log_sent(
             request,
             runner,
             part=part,
@@ -183,7 +184,7 @@
         )
 
     def note_rate_limit(self, call: runner_call.RunnerCall) -> None:
-        """Take note of the limit that a runner's answer names."""
+        """Record the rate limit that a runner's response announces."""
         if not call.status or self.dialect.is_misdirected(call.status):
             return
         self.limits.note_answer(
@@ -197,22 +198,22 @@
         *,
         begun: bool,
     ) -> None:
-        """Look whether a runner that broke off has crashed, and tell.
+        """Report a runner that broke off, if it has crashed.
 
         Parameters
         ----------
         request : CallerRequest
-            What was at the runner.
+            The request that the runner was processing.
         runner : RunnerInfo
             The runner as it was known when the request was sent.
         begun : bool
-            Whether a part of the answer came from it.
+            Whether the runner had sent a part of the answer.
         """
         if not await crash_check.has_crashed(runner, self.view):
             return
         self.meters.crashed(begun)
         LOG.info(
-            'runner crashed under a request',
+            'runner crashed while processing a request',
             extra={
                 'request': request.request_id,
                 'fingerprint': request.fingerprint,
@@ -226,36 +227,36 @@
         self.quarantine.note_crash(request, runner, begun=begun)
 
     @contextlib.contextmanager
-    def log_if_cut(
+    def log_if_cancelled(
         self,
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
         *,
         part: str = 'run',
     ) -> typing.Iterator[None]:
-        """Write a line where a send is cut short from this side.
+        """Log a send that is cancelled on this host.
 
-        The route's timeout and a caller that leaves end the task that
-        waits for a runner. Without a line of its own the log would not
-        name the runner that a request waited for.
+        The route's timeout and a caller that disconnects cancel the task
+        that waits for a runner. Without this log line the log would not
+        name the runner that the request waited for.
         """
-        begun_s = _now_s()
+        started_s = _now_s()
         try:
             yield
         except (asyncio.CancelledError, responder_module.CallerGoneError):
             self.meters.sent(part, CUT)
-            self._write_sent(
+            self._log_sent(
                 request,
                 runner,
                 part=part,
                 result=CUT,
                 step='end',
-                took_s=_now_s() - begun_s,
+                took_s=_now_s() - started_s,
                 detail='the time is over or the caller is gone',
             )
             raise
 
-    def _write_sent(
+    def _log_sent(
         self,
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
@@ -278,19 +279,21 @@
             },
         )
 
-    def _speed(self, service: service_module.Service) -> usual_size.UsualSize:
-        known = self._speeds.get(service.name)
+    def _decode_speed(
+        self, service: service_module.Service
+    ) -> usual_size.UsualSize:
+        known = self._decode_speeds.get(service.name)
         if known is None:
             assert service.engine is not None
-            known = self._speeds[service.name] = usual_size.UsualSize(
+            known = self._decode_speeds[service.name] = usual_size.UsualSize(
                 stage_rates.first_write_tokens_per_s(service.engine)
             )
         return known
 
-    def _budget(self, service: str) -> send_budget.SendBudget:
-        known = self._budgets.get(service)
+    def _retry_budget(self, service: str) -> send_budget.SendBudget:
+        known = self._retry_budgets.get(service)
         if known is None:
-            known = self._budgets[service] = self._make_budget()
+            known = self._retry_budgets[service] = self._make_retry_budget()
         return known
 
 
--- a/limpetroute/forwarding/forwarder.py
+++ b/limpetroute/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""Finds a request's route and has it forwarded."""
+"""Forwards each request by its route."""
 
 import asyncio
 import logging
@@ -16,17 +16,17 @@
 
 LOG = logging.getLogger(__name__)
 
-# How often a request that waits for the first configuration looks.
-LOOK_S = 0.02
+# Interval at which a waiting request checks for the first configuration.
+POLL_INTERVAL_S = 0.02
 
 
 class Forwarder:
-    """Finds a request's route and has it forwarded.
+    """Forwards each request by its route.
 
     Parameters
     ----------
     context : ForwardContext
-        What all forwarding shares.
+        Shared state of the forwarder.
     """
 
     def __init__(self, *, context: forward_context.ForwardContext) -> None:
@@ -42,14 +42,14 @@
         request: caller_request.CallerRequest,
         responder: responder_module.Responder,
     ) -> None:
-        """Answer a request; ends early where its caller is gone."""
+        """Answer a request; stop early if its caller is gone."""
         self.active += 1
         try:
             await self._answer(request, responder)
         except responder_module.CallerGoneError:
-            self._note_gone(request)
+            self._log_caller_gone(request)
         except asyncio.CancelledError:
-            self._note_gone(request)
+            self._log_caller_gone(request)
             raise
         finally:
             self.active -= 1
@@ -64,7 +64,7 @@
         context = self._context
         plan = context.view.plan
         if plan is None:
-            plan = await self._first_plan(request)
+            plan = await self._wait_for_first_plan(request)
         if plan is None:
             await local_reply.write_status(
                 context,
@@ -89,18 +89,18 @@
             return
         await self._forward(request, route, responder)
 
-    async def _first_plan(
+    async def _wait_for_first_plan(
         self, request: caller_request.CallerRequest
     ) -> route_plan.RoutePlan | None:
-        """Return the first configuration if it comes soon."""
+        """Wait a short time for the first configuration and return it."""
         loop = asyncio.get_running_loop()
-        limit_s = start_wait.longest_wait_s(
+        max_wait_s = start_wait.longest_wait_s(
             age_s=loop.time() - self._started_s,
             patience_s=request.deadline_s,
         )
-        until_s = request.received_s + limit_s
-        while self._context.view.plan is None and loop.time() < until_s:
-            await asyncio.sleep(LOOK_S)
+        wait_until_s = request.received_s + max_wait_s
+        while self._context.view.plan is None and loop.time() < wait_until_s:
+            await asyncio.sleep(POLL_INTERVAL_S)
         if self._context.view.plan is not None:
             LOG.info(
                 'waited for the first routes',
@@ -122,9 +122,9 @@
     ) -> None:
         context = self._context
         assert context.view.plan is not None
-        name = plain_forward.draw_service(route, context.rng)
-        service = context.view.plan.service(name)
-        context.note_request(name)
+        service_name = plain_forward.draw_service(route, context.rng)
+        service = context.view.plan.service(service_name)
+        context.note_request(service_name)
         forward: stream_forward.StreamForward | plain_forward.PlainForward
         if service is not None and service.engine and request.generation:
             forward = stream_forward.StreamForward(
@@ -139,12 +139,12 @@
                 context=context,
                 request=request,
                 route=route,
-                service=name,
+                service=service_name,
                 responder=responder,
             )
-        whole_s = context.remaining_s(request, route)
+        timeout_s = context.remaining_s(request, route)
         try:
-            async with asyncio.timeout(whole_s):
+            async with asyncio.timeout(timeout_s):
                 await forward.run()
         except TimeoutError:
             await local_reply.write(
@@ -156,5 +156,5 @@
                 reason='no answer in time',
             )
 
-    def _note_gone(self, request: caller_request.CallerRequest) -> None:
+    def _log_caller_gone(self, request: caller_request.CallerRequest) -> None:
         LOG.info('caller gone', extra={'request': request.request_id})
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -1,4 +1,4 @@
-"""AssignedRunners at runners for one stream, and giving them back."""
+"""Acquires and releases the runners of one stream."""
 
 import asyncio
 import dataclasses
@@ -18,18 +18,18 @@
 
 LOG = logging.getLogger(__name__)
 
-# A host that decides alone takes this many times its even part of a
-# runner: it is mostly one of few that are cut off, and the others go on
-# filling the same runners with places that the leader gives.
+# A host that places streams locally uses this many times its even share
+# of a runner. Usually only a few hosts cannot reach the leader, and all
+# other hosts keep filling the same runners with placements of the leader.
 LOCAL_SHARE_FACTOR = 1.5
-# How often a host without a leader looks whether there is one again, or
-# room among its own streams.
-LOOK_AGAIN_S = 0.05
+# Time after which a stream that was not placed tries the leader and local
+# placement again.
+RETRY_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AssignedRunners:
-    """The runners of one stream, and what is expected of it."""
+    """The runners of one stream, and the forecast for it."""
 
     decode: runner_info.RunnerInfo
     prefill: runner_info.RunnerInfo | None
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StreamProgress:
-    """What has become of a stream; see `PlacementRequest` for the fields."""
+    """Progress of a stream; see `PlacementRequest` for the fields."""
 
     tried: frozenset[str]
     is_resumed: bool
@@ -48,12 +48,12 @@
 
 
 class PlacementSession:
-    """AssignedRunners at runners for one stream, and giving them back.
+    """Acquires and releases the runners of one stream.
 
     Parameters
     ----------
     context : ForwardContext
-        What all forwarding shares.
+        Shared state of the forwarder.
     request : CallerRequest
         The caller's request.
     route : Route
@@ -80,45 +80,54 @@
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
     async def acquire(
-        self, so_far: StreamProgress
+        self, progress: StreamProgress
     ) -> AssignedRunners | placement.Rejection:
-        """Return runners, or a rejection.
+        """Return the stream's runners, or a rejection.
 
-        The host that decides for all is asked; where it cannot be, this
-        host decides by what it has sent itself. Where it has no room
-        left, another leader is mostly there within a second, sooner than
-        a caller that was rejected is back.
+        The leading control host places the stream. Without a usable
+        response from the leader, this host places the stream by the load
+        that it has sent itself. If it finds no free capacity, it retries
+        for a while: a new leader is usually elected within a second,
+        which is sooner than a rejected caller retries.
         """
-        begun_s = _now_s()
+        started_s = _now_s()
         while True:
-            ask = self._ask(so_far, waited_here_s=_now_s() - begun_s)
-            answer = await self._context.scheduler.request_placement(ask)
+            request = self._make_request(
+                progress, waited_here_s=_now_s() - started_s
+            )
+            answer = await self._context.scheduler.request_placement(request)
             if isinstance(answer, placement.Rejection):
                 return answer
             if isinstance(answer, placement.Placement):
-                rooms = self._rooms(answer)
-                if rooms is not None:
-                    return rooms
+                assigned = self._find_runners(answer)
+                if assigned is not None:
+                    return assigned
                 self.release()
-            # The leader may have kept it waiting before it failed.
-            waited_s = so_far.waited_s + _now_s() - begun_s
-            ask = dataclasses.replace(ask, waited_s=waited_s)
-            got = self._decide_alone(ask)
-            if isinstance(got, AssignedRunners) or not stream_times.may_wait(
-                ask, LOOK_AGAIN_S
-            ):
-                self._log_alone(ask, answer, got)
-                return got
-            await asyncio.sleep(LOOK_AGAIN_S)
+            # The leader may have held the request before it failed.
+            waited_s = progress.waited_s + _now_s() - started_s
+            request = dataclasses.replace(request, waited_s=waited_s)
+            result = self._place_locally(request)
+            if isinstance(
+                result, AssignedRunners
+            ) or not stream_times.may_wait(request, RETRY_INTERVAL_S):
+                self._log_local_placement(request, answer, result)
+                return result
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     def note_prefill_done(self) -> None:
-        """Tell whoever gave the places that the prompt was read."""
+        """Report that the prefill runner has prefilled the prompt."""
         self._context.scheduler.note_prefill_done(
             self._service.name, self._request.request_id, self._attempt
         )
 
     def note_first_event(self, sent_s: float) -> None:
-        """Tell that the decode runner has read what it was sent then."""
+        """Report that the decode runner has prefilled by itself.
+
+        Parameters
+        ----------
+        sent_s : float
+            When the request was sent to it, by the event loop's clock.
+        """
         self._context.scheduler.note_first_event(
             self._service.name,
             self._request.request_id,
@@ -129,33 +138,33 @@
     def release(
         self,
         *,
-        events_s: float = 0.0,
+        decode_s: float = 0.0,
         tokens: int = 0,
         failed: typing.Collection[str] = (),
         full: typing.Collection[str] = (),
         whole: bool = False,
     ) -> None:
-        """Give back what is held, with what was measured."""
+        """Release the placement, with what was measured of the stream."""
         self._context.scheduler.release(
             self._service.name,
             placement.Release(
                 request_id=self._request.request_id,
                 attempt=self._attempt,
                 output_tokens=tokens,
-                decode_s=events_s,
+                decode_s=decode_s,
                 failed=tuple(failed),
                 full=tuple(full),
                 whole=whole,
             ),
         )
 
-    def _ask(
-        self, so_far: StreamProgress, *, waited_here_s: float
+    def _make_request(
+        self, progress: StreamProgress, *, waited_here_s: float
     ) -> placement.PlacementRequest:
         generation = self._request.generation
         assert generation is not None
         self._attempt = self._context.scheduler.next_attempt()
-        waited_s = so_far.waited_s + waited_here_s
+        waited_s = progress.waited_s + waited_here_s
         return placement.PlacementRequest(
             request_id=self._request.request_id,
             service=self._service.name,
@@ -166,42 +175,44 @@
             target_s=self._route.target_s,
             patience_s=waited_s
             + self._context.remaining_s(self._request, self._route),
-            goes_on=so_far.is_resumed,
-            written_tokens=so_far.written_tokens,
-            reads_prompt=so_far.may_use_prefill_runner,
+            goes_on=progress.is_resumed,
+            written_tokens=progress.written_tokens,
+            reads_prompt=progress.may_use_prefill_runner,
             may_repeat=self._route.repeatable,
             zone=self._context.zone,
             prompt_id=generation.prompt_id,
             attempt=self._attempt,
-            avoid=tuple(so_far.tried),
+            avoid=tuple(progress.tried),
             pause_target_s=self._route.gap_target_s,
             silence_s=self._route.silence_s,
         )
 
-    def _rooms(self, place: placement.Placement) -> AssignedRunners | None:
+    def _find_runners(
+        self, assigned: placement.Placement
+    ) -> AssignedRunners | None:
         view = self._context.view
-        if place.forecast is not None:
-            view.load(place.decode_id).note_all_streams(
-                place.forecast.beside + 1, _now_s()
+        if assigned.forecast is not None:
+            view.load(assigned.decode_id).note_all_streams(
+                assigned.forecast.beside + 1, _now_s()
             )
-        decode = view.runner(place.decode_id)
+        decode = view.runner(assigned.decode_id)
         if decode is None or not decode.ready:
             return None
         prefill = None
-        if place.prefill_id:
-            prefill = view.runner(place.prefill_id)
+        if assigned.prefill_id:
+            prefill = view.runner(assigned.prefill_id)
         if prefill is not None and not prefill.ready:
             prefill = None
         return AssignedRunners(
-            decode=decode, prefill=prefill, forecast=place.forecast
+            decode=decode, prefill=prefill, forecast=assigned.forecast
         )
 
-    def _decide_alone(
-        self, ask: placement.PlacementRequest
+    def _place_locally(
+        self, request: placement.PlacementRequest
     ) -> AssignedRunners | placement.Rejection:
-        if ask.waited_s > stream_times.longest_wait_s(ask):
+        if request.waited_s > stream_times.longest_wait_s(request):
             return placement.Rejection(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 retry_after_s=1.0,
                 reason='its caller is about to leave',
             )
@@ -213,66 +224,75 @@
             runners,
             engine=self._service.engine,
             loads=context.view.loads,
-            tokens=ask.prompt_tokens + ask.most_output_tokens,
+            tokens=request.prompt_tokens + request.most_output_tokens,
             part=LOCAL_SHARE_FACTOR / context.entry_hosts,
-            tried=ask.avoid,
+            tried=request.avoid,
             now_s=now_s,
             rng=context.rng,
         )
         prefill = None
-        if ask.reads_prompt:
+        if request.reads_prompt:
             prefill = local_placement.choose_prefill(
                 runners,
                 loads=context.view.loads,
                 now_s=now_s,
                 rng=context.rng,
             )
-        may_read = prefill or local_placement.may_self_read_alone(
-            ask, entry_hosts=context.entry_hosts
+        may_prefill = prefill or local_placement.may_self_read_alone(
+            request, entry_hosts=context.entry_hosts
         )
-        if decode is None or not may_read or not self._take(decode, prefill):
+        if (
+            decode is None
+            or not may_prefill
+            or not self._take_rate_limits(decode, prefill)
+        ):
             return placement.Rejection(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 retry_after_s=1.0,
                 reason='no room known',
             )
         context.scheduler.note_local_placement(
             placement.Placement(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 decode_id=decode.runner_id,
                 prefill_id=prefill.runner_id if prefill else '',
             ),
-            ask,
+            request,
         )
         return AssignedRunners(decode=decode, prefill=prefill)
 
-    def _take(
+    def _take_rate_limits(
         self,
         decode: runner_info.RunnerInfo,
         prefill: runner_info.RunnerInfo | None,
     ) -> bool:
-        """Return whether limits let this host send to both now."""
+        """Return whether the rate limits allow a send to both runners.
+
+        A send that is allowed counts against its runner's limit.
+        """
         limits = self._context.limits
         if prefill is not None and not limits.take_locally(prefill):
             return False
         return limits.take_locally(decode)
 
-    def _log_alone(
+    def _log_local_placement(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         answer: scheduler_client.PlacementResult,
-        got: AssignedRunners | placement.Rejection,
+        result: AssignedRunners | placement.Rejection,
     ) -> None:
         decode = (
-            got.decode.runner_id if isinstance(got, AssignedRunners) else ''
+            result.decode.runner_id
+            if isinstance(result, AssignedRunners)
+            else ''
         )
         LOG.info(
-            'decided alone',
+            'placement decided without the leader',
             extra={
-                'request': ask.request_id,
+                'request': request.request_id,
                 'why': str(answer),
                 'decode': decode,
-                'waited_ms': round(ask.waited_s * 1000),
+                'waited_ms': round(request.waited_s * 1000),
                 'index': self._context.view.index,
             },
         )
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -1,4 +1,4 @@
-"""Forwards a request whose answer is passed on whole."""
+"""Forwards a request and buffers the complete response."""
 
 import asyncio
 import logging
@@ -22,16 +22,17 @@
 
 
 class PlainForward:
-    """Forwards a request whose answer is passed on whole.
+    """Forwards a request and buffers the complete response.
 
-    The answer is read to its end before its first byte goes to the
-    caller: a runner that breaks off in the middle then costs an honest
-    error, or another send where the request may be repeated.
+    The response is read to its end before its first byte goes to the
+    caller. If a runner breaks off in the middle, the request is sent
+    again if it is repeatable, and otherwise the caller gets an error
+    rather than a truncated response.
 
     Parameters
     ----------
     context : ForwardContext
-        What all forwarding shares.
+        Shared state of the forwarder.
     request : CallerRequest
         The caller's request.
     route : Route
@@ -56,7 +57,7 @@
         self._route = route
         self._service = service
         self._responder = responder
-        self._tried: set[str] = set()
+        self._tried_runners: set[str] = set()
         self._history = send_history.SendHistory(route=route)
         self._gate = quarantine_gate.QuarantineGate(
             client=context.quarantine, request=request
@@ -68,12 +69,12 @@
     async def run(self) -> None:
         """Answer the request."""
         if not self._context.accepts_calls:
-            await self._end(next_step.Step.REFUSE, 'this host stops')
+            await self._reply(next_step.Step.REFUSE, 'this host stops')
             return
         while True:
             runner = self._choose()
             if runner is None:
-                await self._end_without_runner()
+                await self._refuse_without_runner()
                 return
             if self._gate.is_closed():
                 await self._refuse_quarantined()
@@ -87,27 +88,29 @@
             if step is next_step.Step.RELAY:
                 return
             if step is not next_step.Step.AGAIN:
-                await self._end(step, 'after a send')
+                await self._reply(step, 'after a send')
                 return
 
     async def _refuse_quarantined(self) -> None:
-        await self._end(
+        await self._reply(
             next_step.Step.REFUSE,
             local_reply.QUARANTINED,
             self._gate.retry_after_s,
         )
 
-    async def _end_without_runner(self) -> None:
+    async def _refuse_without_runner(self) -> None:
         wait_s = plain_choice.limit_wait_s(
             self._context.view.runners(self._service),
             loads=self._context.view.loads,
-            tried=self._tried,
+            tried=self._tried_runners,
             now_s=_now_s(),
         )
         if wait_s:
-            await self._end(next_step.Step.REFUSE, local_reply.LIMITED, wait_s)
+            await self._reply(
+                next_step.Step.REFUSE, local_reply.LIMITED, wait_s
+            )
             return
-        await self._end(next_step.Step.REFUSE, 'no runner')
+        await self._reply(next_step.Step.REFUSE, 'no runner')
 
     def _choose(self) -> runner_info.RunnerInfo | None:
         context = self._context
@@ -115,26 +118,26 @@
             context.view.runners(self._service),
             loads=context.view.loads,
             zone=context.zone,
-            tried=self._tried,
+            tried=self._tried_runners,
             now_s=_now_s(),
             rng=context.rng,
         )
 
     async def _send(self, runner: runner_info.RunnerInfo) -> next_step.Step:
-        """Send once; an answer that is passed on is written here."""
+        """Send once, relay a final response, and return the next step."""
         context = self._context
-        begun_s = _now_s()
-        self._tried.add(runner.runner_id)
+        started_s = _now_s()
+        self._tried_runners.add(runner.runner_id)
         load = context.view.load(runner.runner_id)
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
-        note = dialect_module.SendOptions(
+        options = dialect_module.SendOptions(
             remaining_s=context.remaining_s(self._request, self._route),
             runner_id=runner.runner_id,
         )
         load.requests += 1
         try:
-            with context.log_if_cut(self._request, runner):
-                failed = await call.open(self._request, note)
+            with context.log_if_cancelled(self._request, runner):
+                failed = await call.open(self._request, options)
                 context.note_rate_limit(call)
                 body: bytes | runner_call.SendFailure = b''
                 if failed is None:
@@ -147,7 +150,7 @@
         if failed is None and isinstance(body, runner_call.SendFailure):
             failed = body
         result = _result(call, failed)
-        took_s = _now_s() - begun_s
+        took_s = _now_s() - started_s
         if result is send_result.SendResult.ANSWERED:
             load.note_success(took_s)
             context.quarantine.note_answered(self._request)
@@ -178,17 +181,17 @@
         return self._history.decide(
             result,
             left_s=self._context.remaining_s(self._request, self._route),
-            may_go_on=self._may_go_on,
+            may_go_on=self._may_send_again,
         )
 
-    def _may_go_on(self) -> bool:
+    def _may_send_again(self) -> bool:
         if self._choose() is None:
             return False
         if not self._history.sends:
             return True
         return self._context.take_retry(self._service)
 
-    async def _end(
+    async def _reply(
         self,
         step: next_step.Step,
         reason: str,
@@ -221,10 +224,10 @@
 
 def draw_service(route: route_module.Route, rng: random.Random) -> str:
     """Return one of a route's services, by weight."""
-    total = sum(share.weight for share in route.shares)
-    place = rng.random() * total
+    total_weight = sum(share.weight for share in route.shares)
+    remaining = rng.random() * total_weight
     for share in route.shares:
-        place -= share.weight
-        if place < 0:
+        remaining -= share.weight
+        if remaining < 0:
             return share.service
     return next(one.service for one in route.shares if one.weight > 0)
--- a/limpetroute/forwarding/prompt_prefill.py
+++ b/limpetroute/forwarding/prompt_prefill.py
@@ -1,4 +1,4 @@
-"""Has a prompt read by a prefill runner."""
+"""Sends a prompt to a prefill runner."""
 
 import asyncio
 import dataclasses
@@ -17,19 +17,24 @@
 
 LOG = logging.getLogger(__name__)
 
-# A handle lapses by itself after half a second; a call that frees it and
-# takes longer has nothing left to do.
+# A handle expires by itself after half a second, so a longer call to free
+# it is pointless.
 FREE_TIMEOUT_S = 0.5
-# A prompt is read at 50 tokens a millisecond, some prompts wait for
-# others. A runner that takes longer than this has gone dark; waited for,
-# each of its callers would leave without an event.
-READING_SLACK_S = 0.6
+# A prefill runner processes 50 tokens per millisecond, and some prompts
+# queue behind others. A runner that takes longer than the slack plus the
+# time at the slowest rate is unresponsive; callers that waited for it
+# would leave without an event.
+PREFILL_SLACK_S = 0.6
 SLOWEST_TOKENS_PER_S = 25_000.0
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class PrefilledPrompt:
-    """A prompt's KV cache at a prefill runner, until it is taken."""
+    """A prompt's KV cache at a prefill runner.
+
+    ``taken`` is set once the cache needs no freeing: a decode runner
+    accepted the request that fetches it, or a call to free it was made.
+    """
 
     runner: runner_info.RunnerInfo
     source: dialect_module.KvSource
@@ -38,12 +43,12 @@
 
 
 class PromptPrefill:
-    """Has a prompt read by a prefill runner.
+    """Sends a prompt to a prefill runner.
 
     Parameters
     ----------
     context : ForwardContext
-        What all forwarding shares.
+        Shared state of the forwarder.
     request : CallerRequest
         The caller's request.
     route : Route
@@ -60,18 +65,19 @@
         self._context = context
         self._request = request
         self._route = route
-        self._reading: PrefilledPrompt | None = None
+        self._prefilled: PrefilledPrompt | None = None
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(reading={self._reading!r})'
+        return f'{type(self).__name__}(prefilled={self._prefilled!r})'
 
     async def run(
         self, runner: runner_info.RunnerInfo
     ) -> PrefilledPrompt | None:
-        """Return where the KV cache is, or None if none was made.
+        """Prefill the prompt and return its KV cache; None on failure.
 
-        Without one, another place has to be asked for: whoever gives
-        places has to plan for a decode runner that reads by itself.
+        After a failure the caller has to request a new placement, because
+        the scheduler has to plan for a decode runner that prefills by
+        itself.
         """
         context = self._context
         generation = self._request.generation
@@ -80,40 +86,42 @@
         load.requests += 1
         load.tokens += tokens
         try:
-            return await self._call(runner, tokens)
+            return await self._prefill(runner, tokens)
         finally:
             load.requests -= 1
             load.tokens -= tokens
 
     def free_unless_taken(self) -> None:
-        """Free the KV cache that no decode runner has taken.
+        """Free the KV cache if no decode runner has taken it.
 
-        It would otherwise hold a prefill runner's memory until it
-        lapses, for a caller that is gone or was refused.
+        Otherwise the KV cache of a caller that is gone or was refused
+        would occupy memory of the prefill runner until it expires.
         """
-        reading = self._reading
-        if reading is None or reading.taken:
+        prefilled = self._prefilled
+        if prefilled is None or prefilled.taken:
             return
-        reading.taken = True
-        self._context.run_in_background(self._free(reading))
+        prefilled.taken = True
+        self._context.run_in_background(self._free(prefilled))
 
-    async def _call(
+    async def _prefill(
         self, runner: runner_info.RunnerInfo, tokens: int
     ) -> PrefilledPrompt | None:
         context = self._context
-        begun_s = _now_s()
+        started_s = _now_s()
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
-        left_s = context.remaining_s(self._request, self._route)
-        limit_s = READING_SLACK_S + tokens / SLOWEST_TOKENS_PER_S
-        note = dialect_module.SendOptions(
-            remaining_s=min(left_s, limit_s),
+        remaining_s = context.remaining_s(self._request, self._route)
+        max_prefill_s = PREFILL_SLACK_S + tokens / SLOWEST_TOKENS_PER_S
+        options = dialect_module.SendOptions(
+            remaining_s=min(remaining_s, max_prefill_s),
             runner_id=runner.runner_id,
             prefill_only=True,
         )
         handle = ''
         try:
-            with context.log_if_cut(self._request, runner, part='prefill'):
-                failed = await call.open(self._request, note)
+            with context.log_if_cancelled(
+                self._request, runner, part='prefill'
+            ):
+                failed = await call.open(self._request, options)
                 context.note_rate_limit(call)
                 if failed is None:
                     handle, failed = await self._read_handle(call)
@@ -123,7 +131,7 @@
             await context.report_if_crashed(self._request, runner, begun=False)
         load = context.view.load(runner.runner_id)
         if failed is None:
-            load.note_success(_now_s() - begun_s)
+            load.note_success(_now_s() - started_s)
         elif failed.result is not send_result.SendResult.REFUSED:
             load.note_failure(_now_s())
         context.log_send(
@@ -133,20 +141,20 @@
                 failed.result if failed else send_result.SendResult.ANSWERED
             ),
             step=next_step.Step.AGAIN,
-            took_s=_now_s() - begun_s,
+            took_s=_now_s() - started_s,
             detail=failed.detail if failed else f'{tokens} tokens',
             part='prefill',
         )
         if failed is not None:
             return None
-        self._reading = PrefilledPrompt(
+        self._prefilled = PrefilledPrompt(
             runner=runner,
             source=dialect_module.KvSource(
                 address=runner.address, handle=handle
             ),
             tokens=tokens,
         )
-        return self._reading
+        return self._prefilled
 
     async def _read_handle(
         self, call: runner_call.RunnerCall
@@ -168,24 +176,24 @@
                 result=send_result.SendResult.BROKEN, detail=str(exc)
             )
 
-    async def _free(self, reading: PrefilledPrompt) -> None:
-        what = self._context.dialect.free_handle_call(
-            reading.source.handle, reading.runner.runner_id
+    async def _free(self, prefilled: PrefilledPrompt) -> None:
+        free_call = self._context.dialect.free_handle_call(
+            prefilled.source.handle, prefilled.runner.runner_id
         )
-        got = await caller.Caller().call(
-            method=what.method,
-            url=f'http://{reading.runner.address}{what.path}',
-            headers=what.headers,
+        reply = await caller.Caller().call(
+            method=free_call.method,
+            url=f'http://{prefilled.runner.address}{free_call.path}',
+            headers=free_call.headers,
             timeout_s=FREE_TIMEOUT_S,
         )
-        ok = not isinstance(got, call_failed.CallFailed) and got.ok
+        ok = not isinstance(reply, call_failed.CallFailed) and reply.ok
         LOG.info(
-            'freed a prompt that was read in vain',
+            'unused KV cache freed',
             extra={
                 'request': self._request.request_id,
-                'runner': reading.runner.runner_id,
-                'tokens': reading.tokens,
-                'outcome': 'freed' if ok else 'lapses by itself',
+                'runner': prefilled.runner.runner_id,
+                'tokens': prefilled.tokens,
+                'outcome': 'freed' if ok else 'expires by itself',
             },
         )
 
--- a/limpetroute/forwarding/routes_loader.py
+++ b/limpetroute/forwarding/routes_loader.py
@@ -1,4 +1,4 @@
-"""Fetches the routing configuration, in slices."""
+"""Fetches the routing configuration in slices."""
 
 import asyncio
 import logging
@@ -13,29 +13,30 @@
 
 LOG = logging.getLogger(__name__)
 
-# A control host has a slice at hand. One that sends nothing for so long
-# is silent or gone; one that sends slowly is not.
-SILENCE_S = 0.6
+# A control host has each slice in memory, so a host that sends nothing
+# for this long has failed. A host that sends slowly has not.
+IDLE_TIMEOUT_S = 0.6
 SLICE_TIMEOUT_S = 5.0
-PAUSE_S = 0.05
-LONGEST_PAUSE_S = 5.0
-# Parts decoded in one go: some 5 ms on half a core.
-PARTS_AT_ONCE = 100
+RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 5.0
+# Fragments decoded before other tasks run: about 5 ms on half a core.
+FRAGMENTS_PER_BATCH = 100
 HTTP_NOT_FOUND = 404
 
 
-class _GoneError(Exception):
-    """No control host has the version any more."""
+class _VersionGoneError(Exception):
+    """No control host holds the requested version any more."""
 
 
 class RoutesLoader:
-    """Fetches the routing configuration, in slices.
+    """Fetches the routing configuration in slices.
 
     A configuration of thousands of routes takes seconds on a slow link.
-    Fetched by one call with a deadline, it never came: given up shortly
-    before its end and begun again, it filled the link for good, and
-    callers' answers came late. Here each call is short, what came
-    before one fails is kept, and half of the link is left to callers.
+    A single call with a deadline was cut off shortly before its end and
+    started again, so it never completed, filled the link for good and
+    delayed callers' answers. Therefore each call is short, the slices
+    that arrived before a failed call are kept, and pauses between calls
+    leave half of the link to callers.
 
     Parameters
     ----------
@@ -46,7 +47,7 @@
     urls : callable
         Returns the control hosts, the preferred one first.
     rng : random.Random
-        Keeps hosts that start together from fetching in step.
+        Keeps hosts that start together from fetching in lockstep.
     """
 
     def __init__(
@@ -61,106 +62,112 @@
         self._http = http
         self._urls = urls
         self._rng = rng
-        self._told: routes_update_body.RoutesNoticeBody | None = None
-        self._whole = False
+        self._notice: routes_update_body.RoutesNoticeBody | None = None
+        self._must_load_whole = False
         self._task: asyncio.Task[None] | None = None
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(told={self.version!r})'
+        return f'{type(self).__name__}(version={self.version!r})'
 
     @property
     def version(self) -> int:
-        """The newest version that this host has heard of."""
+        """The newest version that is held or was announced."""
         held = self._view.routes.version
-        return max(held, self._told.version if self._told else 0)
+        return max(held, self._notice.version if self._notice else 0)
 
     def stop(self) -> None:
-        """End; what was heard of and not fetched is heard of again."""
-        self._told = None
+        """Stop loading.
+
+        A version that was not loaded has to be announced again.
+        """
+        self._notice = None
         if self._task is not None:
             self._task.cancel()
 
     def notify(self, notice: routes_update_body.RoutesNoticeBody) -> None:
-        """Take the news of a version; fetch what it does not bring."""
+        """Apply the update in a notice, or start to fetch its version."""
         if notice.version <= self.version:
             return
-        self._told = notice
+        self._notice = notice
         if self._task is not None and not self._task.done():
             return
         update = notice.update
-        if update is not None and self._starts_here(update):
-            if self._take_update(update):
+        if update is not None and self._is_applicable(update):
+            if self._apply_update(update):
                 return
         self._task = asyncio.create_task(self._run())
 
-    def _starts_here(self, body: routes_update_body.RoutesUpdateBody) -> bool:
-        """Return whether an update starts from what this host holds.
+    def _is_applicable(
+        self, body: routes_update_body.RoutesUpdateBody
+    ) -> bool:
+        """Return whether an update applies to the held configuration.
 
-        One may not without a fault: the watch asked for it before the
-        version that it starts from was replaced here. Then the way from
-        the one held now is fetched.
+        An update with another base is not an error: the watch requested
+        it before this host replaced that base. In this case an update
+        from the held configuration is fetched.
         """
         return body.base in ('', self._view.routes.digest)
 
-    def _take_update(self, body: routes_update_body.RoutesUpdateBody) -> bool:
+    def _apply_update(self, body: routes_update_body.RoutesUpdateBody) -> bool:
         try:
             copy = self._view.routes.apply(body.to_update())
             self._view.apply_routes(copy)
         except ValueError as exc:
-            self._note_unusable(str(exc))
+            self._log_unusable(str(exc))
             return False
         return True
 
     async def _run(self) -> None:
-        """Fetch until what was heard of is in force.
+        """Fetch until the newest announced version is in force.
 
-        A document that cannot be used, as of another release, would
-        otherwise be fetched over and over, and fill the link with it.
+        The delay doubles after each configuration that cannot be used,
+        such as one of another release. Without the delay, repeated
+        fetches would fill the link.
         """
-        pause_s = PAUSE_S
+        delay_s = RETRY_DELAY_S
         while True:
-            told = self._told
-            if told is None or told.version <= self._view.routes.version:
+            notice = self._notice
+            if notice is None or notice.version <= self._view.routes.version:
                 return
             try:
-                await self._load(told)
-            except _GoneError:
-                # The next answer of a control host names a newer one.
-                self._told = None
+                await self._load(notice)
+            except _VersionGoneError:
+                # The control hosts' next response names a newer version.
+                self._notice = None
                 return
             except ValueError as exc:
-                self._note_unusable(str(exc))
-                await asyncio.sleep(pause_s)
-                pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+                self._log_unusable(str(exc))
+                await asyncio.sleep(delay_s)
+                delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
 
-    def _note_unusable(self, reason: str) -> None:
-        """Have the whole configuration fetched, from nothing on."""
+    def _log_unusable(self, reason: str) -> None:
+        """Log an unusable update; the next fetch loads everything."""
         LOG.error(
-            'an update of the routes cannot be used',
+            'unusable update of the routes',
             extra={'held': self._view.routes.version, 'reason': reason},
         )
-        self._whole = True
-
-    async def _load(self, told: routes_update_body.RoutesNoticeBody) -> None:
-        """Fetch the way to a version, and take it."""
-        begun_s = asyncio.get_running_loop().time()
-        base = '' if self._whole else self._view.routes.digest
-        self._whole = False
-        text, slices = await self._fetch(base, told.digest)
+        self._must_load_whole = True
+
+    async def _load(self, notice: routes_update_body.RoutesNoticeBody) -> None:
+        """Fetch the update to a version and put the version in force."""
+        started_s = asyncio.get_running_loop().time()
+        base = '' if self._must_load_whole else self._view.routes.digest
+        self._must_load_whole = False
+        text, slices = await self._fetch(base, notice.digest)
         body = routes_update_body.RoutesUpdateBody.model_validate_json(text)
         update = body.to_update()
         copy = self._view.routes.apply(update)
-        if copy.digest != told.digest:
-            raise ValueError(f'leads to {copy.digest[:12]!r}')
+        if copy.digest != notice.digest:
+            raise ValueError(f'unexpected digest {copy.digest[:12]!r}')
         added = update.added
-        for first in range(0, len(added), PARTS_AT_ONCE):
-            self._view.prepare(added[first : first + PARTS_AT_ONCE])
+        for first in range(0, len(added), FRAGMENTS_PER_BATCH):
+            self._view.prepare(added[first : first + FRAGMENTS_PER_BATCH])
             await asyncio.sleep(0)
-        took_s = asyncio.get_running_loop().time() - begun_s
+        took_s = asyncio.get_running_loop().time() - started_s
         LOG.info(
             'routes fetched',
             extra={
-                'version': told.version,
+                'version': notice.version,
                 'held': self._view.routes.version,
                 'whole': not body.base,
                 'chars': len(text),
@@ -171,61 +178,76 @@
         self._view.apply_routes(copy)
 
     async def _fetch(self, base: str, digest: str) -> tuple[str, int]:
-        """Return an update's text, and in how many slices it came."""
+        """Return the text of an update and the number of its slices."""
         pieces: list[str] = []
         offset = 0
         missing: set[str] = set()
         while True:
             loop = asyncio.get_running_loop()
-            begun_s = loop.time()
-            got = await self._slice(base, digest, offset, missing)
-            if got is None:
-                await asyncio.sleep(PAUSE_S)
+            started_s = loop.time()
+            reply = await self._fetch_slice(base, digest, offset, missing)
+            if reply is None:
+                await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            if got.digest != digest or got.offset != offset or not got.text:
-                raise ValueError('another slice than the one asked for')
-            # The host may lack the base, and begin from nothing.
-            base = got.base
-            pieces.append(got.text)
-            offset += len(got.text)
-            if offset >= got.size:
+            if (
+                reply.digest != digest
+                or reply.offset != offset
+                or not reply.text
+            ):
+                raise ValueError('not the requested slice')
+            # A host that lacks the base sends the whole configuration.
+            base = reply.base
+            pieces.append(reply.text)
+            offset += len(reply.text)
+            if offset >= reply.size:
                 return ''.join(pieces), len(pieces)
-            # As long a pause as the slice took leaves room for callers.
-            took_s = loop.time() - begun_s
+            # Pausing for as long as the slice took leaves half of the
+            # link to callers.
+            took_s = loop.time() - started_s
             await asyncio.sleep(took_s * self._rng.uniform(0.5, 1.5))
 
-    async def _slice(
+    async def _fetch_slice(
         self, base: str, digest: str, offset: int, missing: set[str]
     ) -> routes_update_body.RoutesSliceBody | None:
-        """Ask one host that may have it; None where that failed."""
+        """Fetch a slice from one host; return None on failure.
+
+        ``missing`` collects the hosts that do not hold the version.
+
+        Raises
+        ------
+        _VersionGoneError
+            If no control host is left.
+        """
         urls = [url for url in self._urls() if url not in missing]
         if not urls:
-            raise _GoneError
+            raise _VersionGoneError
         url = urls[0] if self._rng.random() < 0.5 else self._rng.choice(urls)
         query = urllib.parse.urlencode(
             {'base': base, 'digest': digest, 'offset': offset}
         )
-        got = await self._http.call(
+        reply = await self._http.call(
             method='GET',
             url=f'{url}/v1/routes?{query}',
-            timeout_s=SILENCE_S,
+            timeout_s=IDLE_TIMEOUT_S,
             body_timeout_s=SLICE_TIMEOUT_S,
-            idle_timeout_s=SILENCE_S,
+            idle_timeout_s=IDLE_TIMEOUT_S,
         )
-        if isinstance(got, call_failed.CallFailed):
-            reason = f'{got.kind.value} after {got.received_bytes} bytes'
-            _note_missed(url, reason, offset)
+        if isinstance(reply, call_failed.CallFailed):
+            reason = f'{reply.kind.value} after {reply.received_bytes} bytes'
+            _log_missed_slice(url, reason, offset)
             return None
-        if got.status == HTTP_NOT_FOUND:
+        if reply.status == HTTP_NOT_FOUND:
             missing.add(url)
-        if not got.ok:
-            _note_missed(url, f'status {got.status}', offset)
+        if not reply.ok:
+            _log_missed_slice(url, f'status {reply.status}', offset)
             return None
-        return routes_update_body.RoutesSliceBody.model_validate_json(got.body)
+        return routes_update_body.RoutesSliceBody.model_validate_json(
+            reply.body
+        )
 
 
-def _note_missed(url: str, reason: str, offset: int) -> None:
+def _log_missed_slice(url: str, reason: str, offset: int) -> None:
     LOG.info(
-        'a slice of the routes did not come',
+        'could not fetch a slice of the routes',
         extra={'url': url, 'reason': reason, 'offset': offset},
     )
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -1,4 +1,4 @@
-"""Asks the leading control host for streams' places."""
+"""Requests placements of streams from the leading control host."""
 
 import asyncio
 import dataclasses
@@ -14,22 +14,24 @@
 
 LOG = logging.getLogger(__name__)
 
-# The leader holds a call while there is no place, for as long as one is
-# worth giving. Where nothing comes for this much longer it is gone, and
-# this host decides for itself.
-ASK_MARGIN_S = 0.3
-# Control hosts are some milliseconds away. One that answers neither try
-# to connect is cut off; until it is heard to lead again, or for this
-# long, it is not tried: each try costs a stream a quarter second.
+# The leader holds a placement request until there is a free place or the
+# place would come too late. A leader that does not respond within this
+# time after that counts as failed, and this host places the stream
+# locally.
+RESPONSE_MARGIN_S = 0.3
+# Control hosts are a few milliseconds away, so a leader that accepts
+# neither connection attempt is unreachable. Such a leader is skipped for
+# UNREACHABLE_S, or until a new leader is known, because each failed
+# request delays a stream by a quarter of a second.
 CONNECT_TRIES_S = (0.1, 0.15)
 UNREACHABLE_S = 1.0
-END_TIMEOUT_S = 0.5
+NOTIFY_TIMEOUT_S = 0.5
 HTTP_UNAVAILABLE = 503
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SchedulerUnavailable:
-    """No leader could be asked."""
+    """The leader gave no usable response to a placement request."""
 
     reason: str
 
@@ -40,14 +42,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _HeldPlace:
-    place: placement.Placement
-    ask: placement.PlacementRequest
+class _HeldPlacement:
+    assigned: placement.Placement
+    request: placement.PlacementRequest
     since_s: float
 
 
 class SchedulerClient:
-    """Asks the leading control host for streams' places.
+    """Requests placements of streams from the leading control host.
 
     Parameters
     ----------
@@ -59,20 +61,20 @@
         self._http = http
         self._leader_url = ''
         self._unreachable_until_s = 0.0
-        self._held: dict[str, _HeldPlace] = {}
+        self._held: dict[str, _HeldPlacement] = {}
         self._attempts = itertools.count(1)
-        self._untold = False
+        self._must_report_held = False
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(leader_url={self._leader_url!r})'
 
     def follow(self, leader_url: str) -> None:
-        """Take note of who leads, and tell a new leader what is held."""
+        """Switch to a leader and report the held placements to a new one."""
         if leader_url == self._leader_url:
             return
         LOG.info(
-            'places are given by',
+            'scheduler leader changed',
             extra={
                 'url': leader_url,
                 'before': self._leader_url,
@@ -82,12 +84,16 @@
         self._leader_url = leader_url
         self._unreachable_until_s = 0.0
         if leader_url and self._held:
-            self._aside(self._tell_held())
+            self._run_in_background(self._report_held())
 
     async def request_placement(
-        self, request_placement: placement.PlacementRequest
+        self, request: placement.PlacementRequest
     ) -> PlacementResult:
-        """Return a stream's place, once there is one."""
+        """Return the leader's decision about a stream.
+
+        The call lasts until there is a free place or the leader rejects
+        the request.
+        """
         if not self._leader_url:
             return SchedulerUnavailable(reason='no leader is known')
         if _now_s() < self._unreachable_until_s:
@@ -98,18 +104,19 @@
             got = await self._http.call(
                 method='POST',
                 url=f'{self._leader_url}/v1/places',
-                body=dataclasses.asdict(request_placement),
-                timeout_s=_answer_due_s(request_placement) + ASK_MARGIN_S,
+                body=dataclasses.asdict(request),
+                timeout_s=_max_wait_s(request) + RESPONSE_MARGIN_S,
                 connect_tries_s=CONNECT_TRIES_S,
             )
         except asyncio.CancelledError:
-            # The place may have been given just now; the answer that
-            # names it is lost with this call.
+            # The leader may already have reserved a place. The response
+            # that names it is lost with this call, so it is released
+            # unseen.
             self.release(
-                request_placement.service,
+                request.service,
                 placement.Release(
-                    request_id=request_placement.request_id,
-                    attempt=request_placement.attempt,
+                    request_id=request.request_id,
+                    attempt=request.attempt,
                 ),
                 known=False,
             )
@@ -119,14 +126,14 @@
                 self._unreachable_until_s = _now_s() + UNREACHABLE_S
             return SchedulerUnavailable(reason=f'the leader: {got.kind.value}')
         try:
-            if got.ok and self._untold:
-                self._untold = False
-                self._aside(self._tell_held())
+            if got.ok and self._must_report_held:
+                self._must_report_held = False
+                self._run_in_background(self._report_held())
             if got.status == HTTP_UNAVAILABLE:
                 return placement.Rejection(**got.json())
             if not got.ok:
                 return SchedulerUnavailable(reason=f'status {got.status}')
-            place = placement.Placement(
+            assigned = placement.Placement(
                 **got.json(),
                 forecast=forecast_header.decode(
                     got.headers.get(forecast_header.NAME)
@@ -134,56 +141,72 @@
             )
         except (ValueError, TypeError) as exc:
             return SchedulerUnavailable(reason=str(exc))
-        self.note_placement(place, request_placement)
-        return place
+        self.note_placement(assigned, request)
+        return assigned
 
     def note_placement(
-        self, place: placement.Placement, ask: placement.PlacementRequest
+        self,
+        assigned: placement.Placement,
+        request: placement.PlacementRequest,
     ) -> None:
-        """Take note of a place that this host holds."""
-        self._held[place.request_id] = _HeldPlace(
-            place=place, ask=ask, since_s=_now_s()
+        """Record a placement that a stream of this host holds."""
+        self._held[assigned.request_id] = _HeldPlacement(
+            assigned=assigned, request=request, since_s=_now_s()
         )
 
     def note_local_placement(
-        self, place: placement.Placement, ask: placement.PlacementRequest
+        self,
+        assigned: placement.Placement,
+        request: placement.PlacementRequest,
     ) -> None:
-        """Take note of a place that this host gave itself.
+        """Record a placement that this host chose without the leader.
 
-        The leader hears of it once it answers again: counting without
-        what was given in its absence, it fills runners beyond their
-        memory for as long as those streams last.
+        All held placements are reported as soon as the leader responds
+        again. A leader that does not count local placements overfills
+        the memory of their runners for as long as those streams last.
         """
-        self._untold = True
-        self.note_placement(place, ask)
+        self._must_report_held = True
+        self.note_placement(assigned, request)
 
     def next_attempt(self) -> int:
-        """Return a number that tells one ask for a place from others."""
+        """Return a number that is unique among placement requests."""
         return next(self._attempts)
 
     def release(
-        self, service: str, end: placement.Release, *, known: bool = True
+        self, service: str, release: placement.Release, *, known: bool = True
     ) -> None:
-        """Give a place back; nobody waits for that."""
-        if self._held.pop(end.request_id, None) is None and known:
+        """Release a placement in the background.
+
+        Parameters
+        ----------
+        service : str
+            The stream's service.
+        release : Release
+            The placement, with what was measured of its stream.
+        known : bool
+            Whether to ignore a placement that is not recorded here.
+        """
+        if self._held.pop(release.request_id, None) is None and known:
             return
         if self._leader_url:
-            self._aside(self._tell_end(service, end))
+            self._run_in_background(self._send_release(service, release))
 
     def note_prefill_done(
         self, service: str, request_id: str, attempt: int
     ) -> None:
-        """Tell that a prompt was read apart; nobody waits for that."""
+        """Report in the background that a prefill runner is done."""
         if self._leader_url and request_id in self._held:
-            self._aside(self._tell_read(service, request_id, attempt))
+            self._run_in_background(
+                self._send_prefill_done(service, request_id, attempt)
+            )
 
     def note_first_event(
         self, service: str, request_id: str, attempt: int, took_s: float
     ) -> None:
-        """Tell that a decode runner has read a prompt itself."""
+        """Report in the background that a decode runner has prefilled."""
         if self._leader_url and request_id in self._held:
-            self._aside(
-                self._tell_read(
+            self._run_in_background(
+                self._send_prefill_done(
                     service,
                     request_id,
                     attempt,
@@ -192,7 +215,7 @@
                 )
             )
 
-    async def _tell_read(
+    async def _send_prefill_done(
         self,
         service: str,
         request_id: str,
@@ -210,55 +233,59 @@
                 'attempt': attempt,
                 **more,
             },
-            timeout_s=END_TIMEOUT_S,
+            timeout_s=NOTIFY_TIMEOUT_S,
         )
         if isinstance(got, call_failed.CallFailed) or not got.ok:
             LOG.info(
-                'a reading counts as queued until it lapses',
+                'could not report a finished prefill, it will expire',
                 extra={'request': request_id},
             )
 
-    async def _tell_end(self, service: str, end: placement.Release) -> None:
+    async def _send_release(
+        self, service: str, release: placement.Release
+    ) -> None:
         got = await self._http.call(
             method='POST',
             url=f'{self._leader_url}/v1/places/end',
-            body={'service': service, **dataclasses.asdict(end)},
-            timeout_s=END_TIMEOUT_S,
+            body={'service': service, **dataclasses.asdict(release)},
+            timeout_s=NOTIFY_TIMEOUT_S,
         )
         if isinstance(got, call_failed.CallFailed) or not got.ok:
             LOG.info(
-                'a place lapses by itself',
-                extra={'request': end.request_id},
+                'could not release a placement, it will expire',
+                extra={'request': release.request_id},
             )
 
-    async def _tell_held(self) -> None:
+    async def _report_held(self) -> None:
         now_s = _now_s()
         held = []
         for one in self._held.values():
-            waited_s = one.ask.waited_s + now_s - one.since_s
-            asked = dataclasses.replace(one.ask, waited_s=waited_s)
+            waited_s = one.request.waited_s + now_s - one.since_s
+            request = dataclasses.replace(one.request, waited_s=waited_s)
             held.append(
                 {
-                    'decode_id': one.place.decode_id,
-                    'prefill_id': one.place.prefill_id,
-                    'asked': dataclasses.asdict(asked),
+                    'decode_id': one.assigned.decode_id,
+                    'prefill_id': one.assigned.prefill_id,
+                    'asked': dataclasses.asdict(request),
                 }
             )
         got = await self._http.call(
             method='POST',
             url=f'{self._leader_url}/v1/places/held',
             body={'held': held},
-            timeout_s=END_TIMEOUT_S,
+            timeout_s=NOTIFY_TIMEOUT_S,
         )
         if isinstance(got, call_failed.CallFailed) or not got.ok:
-            # Told with the next answer of the leader.
-            self._untold = True
+            # Report again after the leader's next successful response.
+            self._must_report_held = True
             LOG.info(
-                'the leader was not told of the streams here',
+                'could not report held placements to the leader',
                 extra={'url': self._leader_url, 'held': len(held)},
             )
 
-    def _aside(self, work: typing.Coroutine[None, None, None]) -> None:
+    def _run_in_background(
+        self, work: typing.Coroutine[None, None, None]
+    ) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -268,6 +295,6 @@
     return asyncio.get_running_loop().time()
 
 
-def _answer_due_s(ask: placement.PlacementRequest) -> float:
-    """Return how long the leader may hold this call."""
-    return max(0.0, stream_times.longest_wait_s(ask) - ask.waited_s)
+def _max_wait_s(request: placement.PlacementRequest) -> float:
+    """Return how long the leader may hold a placement request."""
+    return max(0.0, stream_times.longest_wait_s(request) - request.waited_s)
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -98,7 +98,7 @@
             dialect=dialect,
             meters=forward_meters.ForwardMeters(meter=self._exports.meter),
             zone=settings.zone,
-            make_budget=self._make_budget,
+            make_retry_budget=self._make_budget,
             rng=random.Random(),
         )
         self.forwarder = forwarder_module.Forwarder(context=self._context)
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -26,9 +26,8 @@
 
 LOG = logging.getLogger(__name__)
 
-# Prefill runners that may fail a prompt before its caller is told to
-# come back.
-MAX_READINGS = 2
+# Failed prefills that a request may have; one more and it is refused.
+MAX_FAILED_PREFILLS = 2
 
 
 class StreamForward:
@@ -37,7 +36,7 @@
     Parameters
     ----------
     context : ForwardContext
-        What all forwarding shares.
+        Shared state of the forwarder.
     request : CallerRequest
         The caller's request.
     route : Route
@@ -68,159 +67,164 @@
             route=route,
             responder=responder,
         )
-        self._tried: set[str] = set()
-        self._failed: set[str] = set()
-        self._full: set[str] = set()
+        self._tried_runners: set[str] = set()
+        self._failed_runners: set[str] = set()
+        self._full_runners: set[str] = set()
         self._history = send_history.SendHistory(route=route)
         self._gate = quarantine_gate.QuarantineGate(
             client=context.quarantine, request=request
         )
-        self._readings = 0
-        self._failed_readings = 0
-        self._sends_to_gone = 0
-        self._whole = False
+        self._prefills = 0
+        self._failed_prefills = 0
+        self._sends_to_unreachable = 0
+        self._is_complete = False
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
     async def run(self) -> None:
         """Answer the request."""
-        if not self._is_taken():
-            await self._end(next_step.Step.REFUSE, 'this host stops')
+        if not self._is_accepted():
+            await self._reply(next_step.Step.REFUSE, 'this host stops')
             return
         while True:
             if self._gate.is_closed():
                 await self._refuse_quarantined()
                 return
-            places = placement_session.PlacementSession(
+            session = placement_session.PlacementSession(
                 context=self._context,
                 request=self._request,
                 route=self._route,
                 service=self._service,
             )
             try:
-                got = await places.acquire(self._so_far())
-                if isinstance(got, placement.Rejection):
-                    await self._end(
-                        next_step.Step.REFUSE, got.reason, got.retry_after_s
+                result = await session.acquire(self._progress())
+                if isinstance(result, placement.Rejection):
+                    await self._reply(
+                        next_step.Step.REFUSE,
+                        result.reason,
+                        result.retry_after_s,
                     )
                     return
                 if not await self._gate.may_send():
                     await self._refuse_quarantined()
                     return
-                step = await self._send(got, places)
+                step = await self._send(result, session)
             finally:
-                places.release(
-                    events_s=self._relay.events_s,
-                    tokens=self._tokens_written(),
-                    failed=self._failed,
-                    full=self._full,
-                    whole=self._whole,
+                session.release(
+                    decode_s=self._relay.decode_s,
+                    tokens=self._written_tokens(),
+                    failed=self._failed_runners,
+                    full=self._full_runners,
+                    whole=self._is_complete,
                 )
-                self._note_speed()
-                self._failed.clear()
-                self._full.clear()
+                self._record_speed()
+                self._failed_runners.clear()
+                self._full_runners.clear()
             if step is next_step.Step.RELAY:
                 return
             if step is not next_step.Step.AGAIN:
-                await self._end(step, 'after a send')
+                await self._reply(step, 'after a send')
                 return
 
     async def _refuse_quarantined(self) -> None:
-        await self._end(
+        await self._reply(
             next_step.Step.REFUSE,
             local_reply.QUARANTINED,
             self._gate.retry_after_s,
         )
 
-    def _is_taken(self) -> bool:
+    def _is_accepted(self) -> bool:
         generation = self._request.generation
         assert generation is not None
         return self._context.accepts_stream(self._service, generation)
 
-    def _note_speed(self) -> None:
-        events_s = self._relay.events_s
-        if self._whole and events_s > reservations.LEAST_MEASURED_S:
-            self._context.note_speed(
-                self._service, self._tokens_written() / events_s
+    def _record_speed(self) -> None:
+        decode_s = self._relay.decode_s
+        if self._is_complete and decode_s > reservations.LEAST_MEASURED_S:
+            self._context.note_decode_speed(
+                self._service, self._written_tokens() / decode_s
             )
 
-    def _so_far(self) -> placement_session.StreamProgress:
+    def _progress(self) -> placement_session.StreamProgress:
         return placement_session.StreamProgress(
-            tried=frozenset(self._tried),
-            is_resumed=self._goes_on(),
-            written_tokens=self._tokens_written(),
-            may_use_prefill_runner=self._may_read_apart(),
+            tried=frozenset(self._tried_runners),
+            is_resumed=self._is_resumed(),
+            written_tokens=self._written_tokens(),
+            may_use_prefill_runner=self._may_use_prefill_runner(),
             waited_s=self._relay.waited_s,
         )
 
-    def _may_read_apart(self) -> bool:
-        """Return whether a prefill runner may read the prompt now.
+    def _may_use_prefill_runner(self) -> bool:
+        """Return whether a prefill runner may process the prompt now.
 
-        The first reading is free. A later one counts as a send, and
-        another follows it; sends to runners that are gone do not count.
+        The first prefill is free. A later prefill counts as a send and is
+        followed by the send to the decode runner, so the route must allow
+        two more sends. Sends to unreachable runners do not count.
         """
-        if not self._readings:
+        if not self._prefills:
             return True
-        sends = self._history.sends - self._sends_to_gone
+        sends = self._history.sends - self._sends_to_unreachable
         if sends + 2 > self._route.max_sends:
             return False
         return self._context.take_retry(self._service.name)
 
-    def _tokens(self) -> int:
+    def _peak_tokens(self) -> int:
         generation = self._request.generation
         return generation.peak_tokens if generation else 0
 
-    def _tokens_written(self) -> int:
+    def _written_tokens(self) -> int:
         engine = self._service.engine
         assert engine is not None
         return self._relay.event_count * engine.tokens_per_event
 
-    def _goes_on(self) -> bool:
-        """Return whether a part of the answer is there already."""
+    def _is_resumed(self) -> bool:
+        """Return whether the caller already has a part of the answer."""
         return bool(self._request.resume_after or self._relay.last_id)
 
     async def _send(
         self,
-        rooms: placement_session.AssignedRunners,
-        places: placement_session.PlacementSession,
+        assigned: placement_session.AssignedRunners,
+        session: placement_session.PlacementSession,
     ) -> next_step.Step:
-        runner = rooms.decode
+        runner = assigned.decode
         load = self._context.view.load(runner.runner_id)
         load.requests += 1
-        load.tokens += self._tokens()
-        reading = prompt_prefill.PromptPrefill(
+        load.tokens += self._peak_tokens()
+        prompt = prompt_prefill.PromptPrefill(
             context=self._context, request=self._request, route=self._route
         )
         call = runner_call.RunnerCall(
             runner=runner, dialect=self._context.dialect
         )
         try:
-            source = None
-            if rooms.prefill is not None:
-                # A prompt read for a decode runner that is dark is read
-                # in vain (30 thousand tokens in 2 s while one of three
-                # is): it is connected to first.
+            prefilled = None
+            if assigned.prefill is not None:
+                # Connect to the decode runner first: a prefill for an
+                # unresponsive decode runner is wasted (30,000 tokens
+                # within 2 s while one of three was unresponsive).
                 failed = await call.connect()
                 if failed is not None:
-                    return self._after_failed_connect(runner, failed)
-                source = await reading.run(rooms.prefill)
-                if source is None:
-                    return self._after_failed_reading(rooms.prefill)
-                self._readings += 1
-                places.note_prefill_done()
-            return await self._decode(call, source, places, rooms.forecast)
+                    return self._step_after_failed_connect(runner, failed)
+                prefilled = await prompt.run(assigned.prefill)
+                if prefilled is None:
+                    return self._step_after_failed_prefill(assigned.prefill)
+                self._prefills += 1
+                session.note_prefill_done()
+            return await self._decode(
+                call, prefilled, session, assigned.forecast
+            )
         finally:
             call.close()
-            reading.free_unless_taken()
+            prompt.free_unless_taken()
             load.requests -= 1
-            load.tokens -= self._tokens()
+            load.tokens -= self._peak_tokens()
 
-    def _after_failed_connect(
+    def _step_after_failed_connect(
         self, runner: runner_info.RunnerInfo, failed: runner_call.SendFailure
     ) -> next_step.Step:
-        """Return what follows a decode runner that cannot be reached."""
-        self._tried.add(runner.runner_id)
+        """Return the step after a failed connect to a decode runner."""
+        self._tried_runners.add(runner.runner_id)
         self._note_failure(runner)
         step = self._decide(failed.result)
         self._context.log_send(
@@ -236,20 +240,20 @@
 
     def _note_failure(self, runner: runner_info.RunnerInfo) -> None:
         self._context.view.load(runner.runner_id).note_failure(_now_s())
-        self._failed.add(runner.runner_id)
+        self._failed_runners.add(runner.runner_id)
 
-    def _after_failed_reading(
+    def _step_after_failed_prefill(
         self, prefill: runner_info.RunnerInfo
     ) -> next_step.Step:
-        """Return what follows a prompt that could not be read.
+        """Return the step after a failed prefill.
 
-        The decode runner could read it, but that holds all its streams
-        up: whoever gives places has to plan for it. So a place is asked
-        for anew; nothing has run yet.
+        The decode runner could prefill the prompt itself, but that delays
+        all its other streams, so the scheduler has to plan for it. The
+        stream therefore requests a new placement. Nothing has run yet.
         """
-        self._failed.add(prefill.runner_id)
-        self._failed_readings += 1
-        if self._failed_readings > MAX_READINGS:
+        self._failed_runners.add(prefill.runner_id)
+        self._failed_prefills += 1
+        if self._failed_prefills > MAX_FAILED_PREFILLS:
             return next_step.Step.REFUSE
         if not self._context.take_retry(self._service.name):
             return next_step.Step.REFUSE
@@ -258,44 +262,45 @@
     async def _decode(
         self,
         call: runner_call.RunnerCall,
-        source: prompt_prefill.PrefilledPrompt | None,
-        places: placement_session.PlacementSession,
-        expected: forecast.Forecast | None,
+        prefilled: prompt_prefill.PrefilledPrompt | None,
+        session: placement_session.PlacementSession,
+        predicted: forecast.Forecast | None,
     ) -> next_step.Step:
         context = self._context
-        begun_s = _now_s()
+        started_s = _now_s()
         events_before = self._relay.event_count
         on_first_event = None
-        if source is None or self._goes_on():
-            # The decode runner reads at least what was written before.
+        if prefilled is None or self._is_resumed():
+            # The decode runner has to prefill, at least the tokens that
+            # were written before.
             on_first_event = functools.partial(
-                places.note_first_event, begun_s
+                session.note_first_event, started_s
             )
         runner = call.runner
-        self._tried.add(runner.runner_id)
-        note = dialect_module.SendOptions(
+        self._tried_runners.add(runner.runner_id)
+        options = dialect_module.SendOptions(
             remaining_s=context.remaining_s(self._request, self._route),
             runner_id=runner.runner_id,
-            kv_source=source.source if source else None,
+            kv_source=prefilled.source if prefilled else None,
             resume_after=self._relay.last_id or None,
         )
-        with context.log_if_cut(self._request, runner, part='decode'):
-            failed = await call.open(self._request, note)
+        with context.log_if_cancelled(self._request, runner, part='decode'):
+            failed = await call.open(self._request, options)
             context.note_rate_limit(call)
             result = failed.result if failed else None
             if failed is None and call.status >= runner_call.HTTP_SERVER_ERROR:
                 result = send_result.SendResult.FAILED
             if result is None:
-                if source is not None:
-                    source.taken = True
+                if prefilled is not None:
+                    prefilled.taken = True
                 result = await self._relay.run(
                     call,
                     may_switch_runner=self._history.another_may_follow,
                     on_first_event=on_first_event,
                 )
-        self._judge(runner, result, source, _now_s() - begun_s)
+        self._record_result(runner, result, prefilled, _now_s() - started_s)
         if result is send_result.SendResult.ANSWERED:
-            self._measure(expected, resumed=events_before > 0)
+            self._record_forecast_error(predicted, resumed=events_before > 0)
         if result is send_result.SendResult.BROKEN:
             await context.report_if_crashed(
                 self._request,
@@ -308,38 +313,38 @@
             runner=runner,
             result=result,
             step=step,
-            took_s=_now_s() - begun_s,
+            took_s=_now_s() - started_s,
             detail=failed.detail if failed else f'status {call.status}',
             part='decode',
             events=self._relay.event_count,
             first_event_ms=self._relay.first_event_ms,
             longest_gap_ms=self._relay.longest_gap_ms,
-            expected_first_ms=_expected_ms(expected),
-            asked_tokens=self._tokens(),
+            expected_first_ms=_first_event_ms(predicted),
+            asked_tokens=self._peak_tokens(),
         )
         if step is next_step.Step.RELAY and not self._responder.finished:
             await self._relay_failure(call)
-        if step is next_step.Step.AGAIN and await self._is_gone(
+        if step is next_step.Step.AGAIN and await self._is_unreachable(
             runner, result
         ):
-            self._sends_to_gone += 1
+            self._sends_to_unreachable += 1
         return step
 
-    def _measure(
-        self, expected: forecast.Forecast | None, *, resumed: bool
+    def _record_forecast_error(
+        self, predicted: forecast.Forecast | None, *, resumed: bool
     ) -> None:
-        """Record how a whole answer compares with what was expected."""
+        """Record how a complete answer compares with its forecast."""
         meters = self._context.meters
         meters.longest_pause(self._relay.longest_gap_ms / 1000)
         first_ms = self._relay.first_event_ms
-        if expected is None or first_ms is None or resumed:
+        if predicted is None or first_ms is None or resumed:
             return
-        meters.first_event_error(first_ms / 1000 - expected.first_event_s)
+        meters.first_event_error(first_ms / 1000 - predicted.first_event_s)
 
-    async def _is_gone(
+    async def _is_unreachable(
         self, runner: runner_info.RunnerInfo, result: send_result.SendResult
     ) -> bool:
-        """Return whether a runner that broke off takes no connection."""
+        """Return whether a runner that broke off cannot be reached."""
         if result.surely_not_run:
             return False
         call = runner_call.RunnerCall(
@@ -350,29 +355,29 @@
         finally:
             call.close()
 
-    def _judge(
+    def _record_result(
         self,
         runner: runner_info.RunnerInfo,
         result: send_result.SendResult,
-        source: prompt_prefill.PrefilledPrompt | None,
+        prefilled: prompt_prefill.PrefilledPrompt | None,
         took_s: float,
     ) -> None:
-        """Take note of what a send says of its runner."""
+        """Update the health of a runner with the result of a send."""
         if result is send_result.SendResult.ANSWERED:
-            self._whole = True
+            self._is_complete = True
             self._context.quarantine.note_answered(self._request)
             self._context.view.load(runner.runner_id).note_success(took_s)
-        elif result is send_result.SendResult.REFUSED and source:
-            # Mostly the KV cache has lapsed before it was taken; the
-            # runner itself may have room.
-            self._tried.discard(runner.runner_id)
+        elif result is send_result.SendResult.REFUSED and prefilled:
+            # Usually the KV cache expired before the decode runner
+            # fetched it; the decode runner may still have capacity.
+            self._tried_runners.discard(runner.runner_id)
         elif result is send_result.SendResult.REFUSED:
-            self._full.add(runner.runner_id)
+            self._full_runners.add(runner.runner_id)
         else:
             self._note_failure(runner)
 
     async def _relay_failure(self, call: runner_call.RunnerCall) -> None:
-        """Pass a runner's own error on, or break a begun stream off."""
+        """Relay a runner's error response, or abort a started stream."""
         if self._responder.started:
             self._responder.abort()
             return
@@ -380,7 +385,7 @@
             self._context.remaining_s(self._request, self._route)
         )
         if isinstance(body, runner_call.SendFailure):
-            await self._end(next_step.Step.FAIL, body.detail)
+            await self._reply(next_step.Step.FAIL, body.detail)
             return
         await self._responder.write_whole(
             call.status,
@@ -393,15 +398,15 @@
         return self._history.decide(
             result,
             left_s=self._context.remaining_s(self._request, self._route),
-            may_go_on=self._may_go_on,
+            may_go_on=self._may_send_again,
         )
 
-    def _may_go_on(self) -> bool:
+    def _may_send_again(self) -> bool:
         if not self._history.sends:
             return True
         return self._context.take_retry(self._service.name)
 
-    async def _end(
+    async def _reply(
         self,
         step: next_step.Step,
         reason: str,
@@ -418,10 +423,10 @@
         )
 
 
-def _expected_ms(expected: forecast.Forecast | None) -> int | None:
-    if expected is None:
+def _first_event_ms(predicted: forecast.Forecast | None) -> int | None:
+    if predicted is None:
         return None
-    return round(expected.first_event_s * 1000)
+    return round(predicted.first_event_s * 1000)
 
 
 def _now_s() -> float:
--- a/limpetroute/forwarding/stream_relay.py
+++ b/limpetroute/forwarding/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes a stream's events on to its caller, whole and once."""
+"""Relays a stream's events to its caller, each one complete and once."""
 
 import asyncio
 import typing
@@ -11,22 +11,22 @@
 from limpetroute.routing import route as route_module
 from limpetroute.routing import send_result
 
-# A runner that sends nothing for this long while a stream may go on
-# elsewhere is taken for silent. Longer than a preempted stream's pause
-# (about 0.5 s), shorter than the 2 s after which callers leave.
-SILENT_S = 1.0
+# Time without data after which a resumable stream leaves its runner. It
+# is longer than the gap in a preempted stream (about 0.5 s) and shorter
+# than the 2 s after which callers give up.
+SILENCE_TIMEOUT_S = 1.0
 
 
 class StreamRelay:
-    """Passes a stream's events on to its caller, whole and once.
+    """Relays a stream's events to its caller, each one complete and once.
 
-    One relay lasts as long as its request: where a runner breaks off,
-    the next one goes on after the last whole event.
+    One relay serves a request over all its runners: when a runner breaks
+    off, the next runner resumes after the last complete event.
 
     Parameters
     ----------
     context : ForwardContext
-        What all forwarding shares.
+        Shared state of the forwarder.
     request : CallerRequest
         The caller's request.
     route : Route
@@ -49,7 +49,7 @@
         self._responder = responder
         self._events = event_splitter.EventSplitter()
         self._first_event_s = 0.0
-        self._events_s = 0.0
+        self._decode_s = 0.0
         self._longest_gap_s = 0.0
         self._on_first_event: typing.Callable[[], None] | None = None
 
@@ -58,18 +58,18 @@
 
     @property
     def event_count(self) -> int:
-        """Number of events that were passed on."""
+        """Number of relayed events."""
         return self._events.count
 
     @property
     def last_id(self) -> str:
-        """Identity of the last event that was passed on, or empty."""
+        """Identity of the last relayed event; empty if there is none."""
         return self._events.last_id
 
     @property
-    def events_s(self) -> float:
-        """Time from the first event to the last one, in seconds."""
-        return self._events_s
+    def decode_s(self) -> float:
+        """Time from the first event to the last event, in seconds."""
+        return self._decode_s
 
     @property
     def longest_gap_ms(self) -> int:
@@ -78,15 +78,18 @@
 
     @property
     def first_event_ms(self) -> int | None:
-        """Time from the request to its first event, if there is one."""
+        """Time from the request to its first event, in milliseconds.
+
+        None before the first event.
+        """
         if not self._first_event_s:
             return None
         return round((self._first_event_s - self._request.received_s) * 1000)
 
     @property
     def waited_s(self) -> float:
-        """How long the caller has had nothing new."""
-        since_s = self._first_event_s + self._events_s
+        """Time since the caller's last event, or its request, in seconds."""
+        since_s = self._first_event_s + self._decode_s
         return _now_s() - (since_s or self._request.received_s)
 
     async def run(
@@ -96,20 +99,26 @@
         may_switch_runner: bool,
         on_first_event: typing.Callable[[], None] | None = None,
     ) -> send_result.SendResult:
-        """Pass whole events on as they come; return how it ended.
-
-        ``on_first_event`` is called with the first one of this runner.
-
-        A silent runner is only left where ``may_switch_runner`` says that the
-        stream may go on elsewhere. A full runner that preempts is silent
-        for seconds and goes on: left with no other send allowed, its
-        caller had the answer cut in the middle for nothing.
+        """Relay complete events as they arrive; return the result.
+
+        A full runner that preempts a stream sends nothing for seconds and
+        then continues. If no other send is allowed, leaving this runner
+        would cut an answer that it could still complete.
+
+        Parameters
+        ----------
+        call : RunnerCall
+            The open call to the runner.
+        may_switch_runner : bool
+            Whether the stream may leave a silent runner.
+        on_first_event : callable or None
+            Called at the first event of this runner.
         """
         self._on_first_event = on_first_event
         responder = self._responder
         idle_s = self._context.remaining_s(self._request, self._route)
         if self._route.resumable and may_switch_runner:
-            idle_s = min(idle_s, SILENT_S)
+            idle_s = min(idle_s, SILENCE_TIMEOUT_S)
         try:
             async for chunk in call.chunks(idle_s):
                 events = self._events.feed(chunk)
@@ -121,9 +130,9 @@
         if not call.is_complete:
             self._events.discard_partial()
             return send_result.SendResult.BROKEN
-        rest = self._events.take_remainder()
-        if rest or not responder.started:
-            await self._write(call, rest)
+        remainder = self._events.take_remainder()
+        if remainder or not responder.started:
+            await self._write(call, remainder)
         await responder.finish()
         self._context.count(self._route, call.status, self._request)
         return send_result.SendResult.ANSWERED
@@ -137,9 +146,9 @@
             self._on_first_event()
             self._on_first_event = None
         self._first_event_s = self._first_event_s or now_s
-        before_s = self._first_event_s + self._events_s
+        before_s = self._first_event_s + self._decode_s
         self._longest_gap_s = max(self._longest_gap_s, now_s - before_s)
-        self._events_s = now_s - self._first_event_s
+        self._decode_s = now_s - self._first_event_s
         if responder.started:
             await responder.write(events)
             return
--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -56,7 +56,7 @@
                 meter=metrics.NoOpMeter('test')
             ),
             zone='a',
-            make_budget=lambda: send_budget.SendBudget(
+            make_retry_budget=lambda: send_budget.SendBudget(
                 ratio=1.0, slack=20, window_s=10.0
             ),
             rng=random.Random(1),
--- a/tests/forwarding/test_control_watch.py
+++ b/tests/forwarding/test_control_watch.py
@@ -46,4 +46,4 @@
     record = caplog.records[0]
     assert record.message == 'lost the control host'
     assert record.reason == f'timeout after {len(PART)} bytes'
-    assert record.took_ms >= 1000 * control_watch.MARGIN_S
+    assert record.took_ms >= 1000 * control_watch.RESPONSE_MARGIN_S
