--- a/limpetroute/forwarding/admin_server.py
+++ b/limpetroute/forwarding/admin_server.py
@@ -1,4 +1,4 @@
-"""Readiness for the balancer, and metrics."""
+"""The HTTP server for readiness checks and metrics."""
 
 import typing
 
@@ -29,14 +29,14 @@
 
 
 class AdminServer:
-    """Readiness for the balancer, and metrics.
+    """The HTTP server for readiness checks and metrics.
 
     Parameters
     ----------
     ready_path : str
-        Path at which the balancer asks.
+        Path of the load balancer's readiness check.
     is_ready : callable
-        Returns whether this host should be sent callers.
+        Returns whether the load balancer should send callers here.
     metrics : callable
         Returns the metrics as text.
     """
--- a/limpetroute/forwarding/forward_meters.py
+++ b/limpetroute/forwarding/forward_meters.py
@@ -2,8 +2,8 @@
 
 from opentelemetry import metrics
 
-# Plain calls aim at 200 to 400 ms and streams' first events at 900 ms;
-# the buckets are narrow around these.
+# Targets are 200 to 400 ms for plain calls and 900 ms for the first event
+# of a stream; the buckets are narrow around these values.
 ANSWER_BOUNDS_S = (
     0.02,
     0.05,
@@ -21,15 +21,15 @@
 )
 
 
-# First events that come sooner than expected, and later.
+# Negative values are first events that came earlier than forecast.
 ERROR_BOUNDS_S = (-0.5, -0.2, -0.1, -0.05, 0.0, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0)
 
 
 class ForwardMeters:
     """Counters and histograms of the forwarder.
 
-    Labels have few values, so the number of series stays the same
-    however many callers and requests there are.
+    Labels have few values, so the number of time series does not depend
+    on the number of callers and requests.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
             description='By how much first events come later than expected.',
             explicit_bucket_boundaries_advisory=ERROR_BOUNDS_S,
         )
-        self._longest_pauses = meter.create_histogram(
+        self._longest_gaps = meter.create_histogram(
             'limpetroute_longest_pause',
             unit='s',
             description="Longest time between two of an answer's events.",
@@ -76,7 +76,7 @@
         return f'{type(self).__name__}()'
 
     def answered(self, kind: str, status: int, seconds: float) -> None:
-        """Record an answer."""
+        """Record an answer to a caller."""
         self._answers.record(seconds, {'kind': kind, 'status': status})
 
     def first_event(self, seconds: float) -> None:
@@ -84,12 +84,12 @@
         self._first_events.record(seconds)
 
     def first_event_error(self, seconds: float) -> None:
-        """Record by how much a first event came later than expected."""
+        """Record by how much a first event came later than forecast."""
         self._first_event_errors.record(seconds)
 
-    def longest_pause(self, seconds: float) -> None:
-        """Record an answer's longest time between two events."""
-        self._longest_pauses.record(seconds)
+    def longest_gap(self, seconds: float) -> None:
+        """Record the longest gap between two events of an answer."""
+        self._longest_gaps.record(seconds)
 
     def sent(self, part: str, result: str) -> None:
         """Count a send to a runner."""
--- a/limpetroute/forwarding/front_server.py
+++ b/limpetroute/forwarding/front_server.py
@@ -1,4 +1,4 @@
-"""The port that callers talk to."""
+"""The HTTP server for callers."""
 
 import asyncio
 import logging
@@ -16,19 +16,19 @@
 
 LOG = logging.getLogger(__name__)
 
-# The limit of a request's headers does not count its first line.
+# Allowance for the request line, which the header limit excludes.
 REQUEST_LINE_BYTES = 8192
 
 
 class FrontServer(httputil.HTTPServerConnectionDelegate):
-    """The port that callers talk to.
+    """The HTTP server for callers.
 
     Parameters
     ----------
     forwarder : Forwarder
         Answers the requests.
     dialect : Dialect
-        Decodes them.
+        Decodes the requests.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.limits = caller_limits.CallerLimits()
         self._server: httpserver.HTTPServer | None = None
         self.port = 0
-        self._listens = False
+        self._is_listening = False
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(port={self.port!r})'
@@ -55,14 +55,14 @@
         self._server = httpserver.HTTPServer(self)
         self.apply_limits(self.limits)
         self._server.add_sockets(sockets)
-        self._listens = True
+        self._is_listening = True
 
     def apply_limits(self, limits: caller_limits.CallerLimits) -> None:
-        """Hold connections made from now on to these limits.
+        """Apply limits to all new connections.
 
-        The library has one timeout for a connection that is idle and
-        for a request's head. Callers reuse connections that were idle
-        for most of the limit, so it is the longer one that counts.
+        Tornado has a single timeout for idle connections and for request
+        headers. Callers reuse connections that were idle for most of the
+        idle timeout, so the longer of both limits is used.
         """
         self.limits = limits
         if self._server is None:
@@ -75,9 +75,9 @@
         )
 
     def stop_listening(self) -> None:
-        """Take no more connections."""
-        if self._server is not None and self._listens:
-            self._listens = False
+        """Stop accepting connections."""
+        if self._server is not None and self._is_listening:
+            self._is_listening = False
             self._server.stop()
 
     async def close(self) -> None:
@@ -90,16 +90,16 @@
         server_conn: object,
         request_conn: httputil.HTTPConnection,
     ) -> httputil.HTTPMessageDelegate:
-        """Return what takes the next request of a connection."""
+        """Return the delegate for the next request of a connection."""
         assert isinstance(request_conn, http1connection.HTTP1Connection)
         return _Exchange(server=self, connection=request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Take note of a closed connection; its exchange was told."""
+        """Do nothing; `_Exchange` handles a closed connection."""
 
 
 class _Exchange(httputil.HTTPMessageDelegate):
-    """Reads one request and has it answered."""
+    """Reads one request and starts to answer it."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         self._connection = connection
         self._start: httputil.RequestStartLine | None = None
         self._headers = httputil.HTTPHeaders()
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._received_s = 0.0
         self._task: asyncio.Task[None] | None = None
 
@@ -120,7 +120,7 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> typing.Awaitable[None] | None:
-        """Take the head of a request."""
+        """Store the start line and headers of a request."""
         assert isinstance(start_line, httputil.RequestStartLine)
         self._start = start_line
         self._headers = headers
@@ -128,17 +128,17 @@
         return None
 
     def data_received(self, chunk: bytes) -> typing.Awaitable[None] | None:
-        """Take a part of the body."""
-        self._parts.append(chunk)
+        """Store a chunk of the body."""
+        self._chunks.append(chunk)
         return None
 
     def finish(self) -> None:
-        """Begin to answer."""
+        """Start the task that answers the request."""
         assert self._start is not None
         request = self._server.dialect.read_request(
             self._start,
             self._headers,
-            b''.join(self._parts),
+            b''.join(self._chunks),
             self._received_s,
         )
         responder = responder_module.Responder(
@@ -149,17 +149,17 @@
         self._task = asyncio.create_task(
             self._server.forwarder.answer(request, responder)
         )
-        self._task.add_done_callback(_note_failure)
+        self._task.add_done_callback(_log_failure)
 
     def on_connection_close(self) -> None:
-        """End the work for a caller that is gone."""
+        """Cancel the request of a caller that has disconnected."""
         if self._task is not None:
             self._task.cancel()
 
 
-def _note_failure(task: 'asyncio.Task[None]') -> None:
+def _log_failure(task: 'asyncio.Task[None]') -> None:
     if task.cancelled():
         return
     exc = task.exception()
     if exc is not None:
-        LOG.error('a request failed in the router', exc_info=exc)
+        LOG.error('unexpected error in a request', exc_info=exc)
--- a/limpetroute/forwarding/local_reply.py
+++ b/limpetroute/forwarding/local_reply.py
@@ -1,4 +1,4 @@
-"""Answers of this host's own, where no runner's is passed on."""
+"""Responses that this host generates instead of a runner."""
 
 import json
 import logging
@@ -23,12 +23,11 @@
     next_step.Step.EXPIRE: HTTP_GATEWAY_TIMEOUT,
 }
 
-# A caller that is told to come back at once meets the same runners in
-# the same state. Failures and full queues here last some hundred
-# milliseconds.
+# A caller that retries at once meets the same runners in the same state.
+# Failures and full queues last a few hundred milliseconds.
 RETRY_AFTER_S = 0.3
-# A host that knows no routes has just started, mostly with all control
-# hosts at once; these need one to two seconds to elect a leader.
+# A host without routes has just started, usually together with all control
+# hosts, which need one to two seconds to elect a leader.
 STARTING_RETRY_AFTER_S = 1.5
 
 
@@ -46,7 +45,7 @@
     reason: str,
     retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
-    """Answer a request that no runner's response answers."""
+    """Answer a request with the status for a final step."""
     await write_status(
         context,
         request=request,
@@ -68,7 +67,10 @@
     reason: str,
     retry_after_s: float = RETRY_AFTER_S,
 ) -> None:
-    """Answer with a status of this host's own and say why."""
+    """Answer a request with a status and a reason.
+
+    An answer that has already started is aborted instead.
+    """
     headers = context.dialect.local_reply_headers(request)
     headers['Content-Type'] = 'application/json'
     if status == HTTP_UNAVAILABLE:
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -1,4 +1,4 @@
-"""What this host knows of quarantined requests; reports crashes."""
+"""Holds the quarantined requests and reports crashes of runners."""
 
 import asyncio
 import collections
@@ -15,13 +15,13 @@
 
 LOG = logging.getLogger(__name__)
 
-# All requests that a crashed runner had are reported together: their
-# sends break within some milliseconds.
-GATHER_S = 0.01
-RETRY_S = 0.2
+# Delay that collects all requests of a crashed runner in one report. Their
+# sends break within a few milliseconds of each other.
+BATCH_DELAY_S = 0.01
+RETRY_DELAY_S = 0.2
 CALL_TIMEOUT_S = 1.0
-# What is refused where no control host can be asked whether it may be tried.
-UNSURE_WAIT_S = 1.0
+# Retry time of quarantined requests while a trial cannot be requested.
+UNREACHABLE_RETRY_AFTER_S = 1.0
 MAX_UNREPORTED = 64
 HTTP_BAD_REQUEST = 400
 
@@ -33,9 +33,9 @@
     Parameters
     ----------
     allowed : bool
-        Whether it may be sent once.
+        Whether the request may be sent once.
     wait_s : float
-        When to ask again if not.
+        Time until the next attempt if it may not.
     """
 
     allowed: bool
@@ -43,17 +43,18 @@
 
 
 class QuarantineClient:
-    """What this host knows of quarantined requests; reports crashes.
+    """Holds the quarantined requests and reports crashes of runners.
 
-    The control log decides which requests are quarantined. Until it has,
-    this host's own count holds, also with no leader in reach.
+    The control log decides which requests are quarantined. Until it has
+    decided, and while no leader is reachable, the crashes that this host
+    counted apply.
 
     Parameters
     ----------
     http : Caller
         Makes the calls.
     urls : callable
-        Returns the control hosts, the likeliest leader first.
+        Returns the control hosts, the probable leader first.
     """
 
     def __init__(
@@ -64,26 +65,26 @@
     ) -> None:
         self._http = http
         self._urls = urls
-        self._own = quarantine.Quarantine()
+        self._local = quarantine.Quarantine()
         self._fleet_wide: frozenset[str] = frozenset()
-        self._waits_until_s: dict[str, float] = {}
+        self._refused_until_s: dict[str, float] = {}
         self._unreported: collections.OrderedDict[
             runner_life.RunnerLife, dict[str, bool]
         ] = collections.OrderedDict()
         self._unreported_clears: dict[str, None] = {}
         self._task: asyncio.Task[None] | None = None
-        self._failed_asks = 0
+        self._failed_requests = 0
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(requests={len(self._fleet_wide)!r})'
 
     def update(self, fingerprints: typing.Iterable[str]) -> None:
-        """Take the fleet's quarantined requests."""
+        """Replace the fleet's quarantined requests."""
         received = frozenset(fingerprints)
         removed = self._fleet_wide - received
         for one in removed:
-            self._own.clear(one)
-            self._waits_until_s.pop(one, None)
+            self._local.clear(one)
+            self._refused_until_s.pop(one, None)
         if received != self._fleet_wide:
             LOG.info(
                 'quarantine changed',
@@ -96,14 +97,14 @@
 
     def is_quarantined(self, request: caller_request.CallerRequest) -> bool:
         """Return whether a request is quarantined."""
-        if not self._fleet_wide and not self._own:
+        if not self._fleet_wide and not self._local:
             return False
         fingerprint = request.fingerprint
-        return fingerprint in self._fleet_wide or fingerprint in self._own
+        return fingerprint in self._fleet_wide or fingerprint in self._local
 
     def wait_s(self, request: caller_request.CallerRequest) -> float:
-        """Return how long a quarantined request surely may not be sent."""
-        until_s = self._waits_until_s.get(request.fingerprint, 0.0)
+        """Return how long a quarantined request will still be refused."""
+        until_s = self._refused_until_s.get(request.fingerprint, 0.0)
         return max(0.0, until_s - _now_s())
 
     def note_crash(
@@ -113,105 +114,109 @@
         *,
         begun: bool,
     ) -> None:
-        """Take note of a request under which a runner crashed."""
-        life = runner.life
+        """Record and report a request that a crashed runner processed."""
+        incarnation = runner.life
         fingerprint = request.fingerprint
         suspect = quarantine.Suspect(fingerprint=fingerprint, begun=begun)
-        self._own.note_crash(life, [suspect])
+        self._local.note_crash(incarnation, [suspect])
         self._unreported_clears.pop(fingerprint, None)
-        unreported = self._unreported.setdefault(life, {})
+        unreported = self._unreported.setdefault(incarnation, {})
         if len(unreported) < quarantine.KEPT_SUSPECTS:
             unreported[fingerprint] = begun
         while len(self._unreported) > MAX_UNREPORTED:
             self._unreported.popitem(last=False)
-        self._report()
+        self._start_reporting()
 
     def note_answered(self, request: caller_request.CallerRequest) -> None:
-        """Take note of a request that a runner answered to the end."""
-        if not self._fleet_wide and not self._own:
+        """Clear a suspect request that a runner answered completely."""
+        if not self._fleet_wide and not self._local:
             return
         fingerprint = request.fingerprint
-        known = fingerprint in self._fleet_wide or self._own.suspects(
+        known = fingerprint in self._fleet_wide or self._local.suspects(
             fingerprint
         )
         if not known:
             return
-        self._own.clear(fingerprint)
-        self._waits_until_s.pop(fingerprint, None)
+        self._local.clear(fingerprint)
+        self._refused_until_s.pop(fingerprint, None)
         for unreported in self._unreported.values():
             unreported.pop(fingerprint, None)
         if len(self._unreported_clears) < MAX_UNREPORTED:
             self._unreported_clears[fingerprint] = None
-        self._report()
+        self._start_reporting()
 
     async def request_trial(
         self, request: caller_request.CallerRequest
     ) -> Verdict:
-        """Ask whether a quarantined request may be sent once more."""
+        """Request a trial: whether to send a quarantined request once."""
         fingerprint = request.fingerprint
         wait_s = self.wait_s(request)
         if wait_s:
             return Verdict(allowed=False, wait_s=wait_s)
         if self._unreported:
-            # Asked before its crashes are known there, it would pass for
-            # one that was never quarantined.
-            return Verdict(allowed=False, wait_s=UNSURE_WAIT_S)
-        got = await self._call(
+            # Control hosts that have not received the crashes yet would
+            # treat the request as not quarantined.
+            return Verdict(allowed=False, wait_s=UNREACHABLE_RETRY_AFTER_S)
+        reply = await self._call(
             '/v1/quarantine/trial', {'fingerprint': fingerprint}
         )
-        if got is None:
-            return self._refuse(fingerprint, UNSURE_WAIT_S)
-        outcome = got.get('outcome')
+        if reply is None:
+            return self._refuse(fingerprint, UNREACHABLE_RETRY_AFTER_S)
+        outcome = reply.get('outcome')
         if outcome == quarantine.Trial.RELEASED:
-            self._own.clear(fingerprint)
+            self._local.clear(fingerprint)
             return Verdict(allowed=True)
-        wait_s = float(got.get('wait_s', UNSURE_WAIT_S))
+        wait_s = float(reply.get('wait_s', UNREACHABLE_RETRY_AFTER_S))
         verdict = self._refuse(fingerprint, wait_s)
         if outcome == quarantine.Trial.GRANTED:
             return Verdict(allowed=True)
         return verdict
 
     def stop(self) -> None:
-        """End."""
+        """Stop reporting."""
         if self._task is not None:
             self._task.cancel()
 
     def _refuse(self, fingerprint: str, wait_s: float) -> Verdict:
-        """Note for how long it need not be asked again."""
+        """Refuse a request and record for how long."""
         now_s = _now_s()
-        for one, until_s in list(self._waits_until_s.items()):
+        for one, until_s in list(self._refused_until_s.items()):
             if until_s <= now_s:
-                del self._waits_until_s[one]
-        if len(self._waits_until_s) < quarantine.KEPT_REQUESTS:
-            self._waits_until_s[fingerprint] = now_s + wait_s
+                del self._refused_until_s[one]
+        if len(self._refused_until_s) < quarantine.KEPT_REQUESTS:
+            self._refused_until_s[fingerprint] = now_s + wait_s
         return Verdict(allowed=False, wait_s=wait_s)
 
-    def _report(self) -> None:
+    def _start_reporting(self) -> None:
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._report_all())
 
     async def _report_all(self) -> None:
-        """Report until the control hosts know everything."""
-        await asyncio.sleep(GATHER_S)
+        """Report until the control hosts have received everything."""
+        await asyncio.sleep(BATCH_DELAY_S)
         while self._unreported or self._unreported_clears:
             if not await self._report_once():
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def _report_once(self) -> bool:
         if self._unreported:
-            sent = {life: dict(s) for life, s in self._unreported.items() if s}
+            sent = {
+                incarnation: dict(s)
+                for incarnation, s in self._unreported.items()
+                if s
+            }
             if sent and not await self._report_crashes(sent):
                 return False
-            for life in list(self._unreported):
-                # More of the same crash may have come meanwhile.
-                if self._unreported[life] == sent.get(life, {}):
-                    del self._unreported[life]
+            for incarnation in list(self._unreported):
+                # More suspects of this crash may have been added meanwhile.
+                if self._unreported[incarnation] == sent.get(incarnation, {}):
+                    del self._unreported[incarnation]
             return True
         fingerprint = next(iter(self._unreported_clears))
-        got = await self._call(
+        reply = await self._call(
             '/v1/quarantine/clear', {'fingerprint': fingerprint}
         )
-        if got is None:
+        if reply is None:
             return False
         self._unreported_clears.pop(fingerprint, None)
         return True
@@ -224,42 +229,44 @@
     ) -> bool:
         rows = [
             {
-                'runner_id': life.runner_id,
-                'started_ms': life.started_ms,
+                'runner_id': incarnation.runner_id,
+                'started_ms': incarnation.started_ms,
                 'suspects': suspects,
             }
-            for life, suspects in crashes.items()
+            for incarnation, suspects in crashes.items()
         ]
         return await self._call('/v1/crashes', {'crashes': rows}) is not None
 
     async def _call(
         self, path: str, body: dict[str, typing.Any]
     ) -> dict[str, typing.Any] | None:
-        """Return the group's answer, or None if there was none."""
+        """Return the response of the control group, None without one."""
         urls = self._urls()
         if not urls:
             return None
         client = control_client.ControlClient(
             urls=urls, http=self._http, try_s=CALL_TIMEOUT_S / 2
         )
-        got = await client.ask(path=path, body=body, timeout_s=CALL_TIMEOUT_S)
-        if isinstance(got, control_client.Answered):
-            self._failed_asks = 0
-            if got.status == HTTP_BAD_REQUEST:
-                # Sent again, it would be refused again.
+        reply = await client.ask(
+            path=path, body=body, timeout_s=CALL_TIMEOUT_S
+        )
+        if isinstance(reply, control_client.Answered):
+            self._failed_requests = 0
+            if reply.status == HTTP_BAD_REQUEST:
+                # A retry would be refused as well.
                 LOG.error(
-                    'control hosts refuse a report',
-                    extra={'path': path, 'reason': str(got.body)[:200]},
+                    'control hosts refused a quarantine report',
+                    extra={'path': path, 'reason': str(reply.body)[:200]},
                 )
-            return got.body
-        self._failed_asks += 1
-        if self._failed_asks.bit_count() == 1:
+            return reply.body
+        self._failed_requests += 1
+        if self._failed_requests.bit_count() == 1:
             LOG.info(
-                'control hosts do not answer for the quarantine',
+                'could not reach control hosts for the quarantine',
                 extra={
                     'path': path,
-                    'reason': got.reason,
-                    'failed_asks': self._failed_asks,
+                    'reason': reply.reason,
+                    'failed_asks': self._failed_requests,
                 },
             )
         return None
--- a/limpetroute/forwarding/quarantine_gate.py
+++ b/limpetroute/forwarding/quarantine_gate.py
@@ -1,18 +1,18 @@
-"""Whether one attempt of a caller may be sent to a runner."""
+"""Checks whether a request may be sent despite the quarantine."""
 
 from limpetroute.forwarding import caller_request
 from limpetroute.forwarding import quarantine_client
 
 
 class QuarantineGate:
-    """Whether one attempt of a caller may be sent to a runner.
+    """Checks whether a request may be sent despite the quarantine.
 
     Parameters
     ----------
     client : QuarantineClient
-        Knows which requests are quarantined.
+        Holds the quarantined requests.
     request : CallerRequest
-        The attempt.
+        The request to check.
     """
 
     def __init__(
@@ -29,9 +29,9 @@
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
     def is_closed(self) -> bool:
-        """Return whether it surely may not be sent now.
+        """Return whether the request is known to be refused now.
 
-        Asked before anything is reserved for it.
+        This check makes no call and comes before any reservation.
         """
         if not self._client.is_quarantined(self._request):
             return False
@@ -39,10 +39,11 @@
         return self.retry_after_s > 0.0
 
     async def may_send(self) -> bool:
-        """Return whether it may be sent now, to one runner.
+        """Return whether the request may be sent now, to one runner.
 
-        Asked before each send: a request may have waited for its turn
-        while it crashed runners elsewhere, and a trial is one send.
+        This check precedes each send, because other attempts may have
+        crashed runners while the request was queued, and because a trial
+        permits only one send.
         """
         if not self._client.is_quarantined(self._request):
             return True
--- a/limpetroute/forwarding/rate_limit_client.py
+++ b/limpetroute/forwarding/rate_limit_client.py
@@ -1,4 +1,4 @@
-"""Keeps what this host sends within the limits that runners name."""
+"""Enforces the rate limits that runners announce."""
 
 import asyncio
 import dataclasses
@@ -16,42 +16,45 @@
 
 CONNECT_TRIES_S = (0.1,)
 CALL_TIMEOUT_S = 0.15
-# A leader that did not answer is not waited for by each request.
+# Time for which a leader that did not respond is not called again, so that
+# not every request waits for the leader's timeout.
 UNREACHABLE_S = 0.5
-# Part of its even share that a host without a leader sends: others may
-# still be given theirs by a leader that it cannot reach.
-LOCAL_PART = 0.3
-# A limit that a runner still names is reported again after this long.
+# Fraction of its even share at which a host without a leader sends. A
+# leader that this host cannot reach may still grant requests to the other
+# hosts.
+LOCAL_SHARE = 0.3
+# Interval at which a limit that a runner still announces is reported.
 REPORT_AGAIN_S = 1.0
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _KnownLimit:
+class _AnnouncedLimit:
     limit_per_s: float | None
     received_s: float
     reported_s: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Answer:
+class _Decision:
     allowed: bool
     wait_s: float
 
 
 class RateLimitClient:
-    """Keeps what this host sends within the limits that runners name.
+    """Enforces the rate limits that runners announce.
 
-    The leader gives out a limited runner's requests one by one. Without a
-    leader in reach, this host sends a part of its even share.
+    The leader permits each request to a limited runner individually.
+    Without a reachable leader, this host sends at a fraction of its even
+    share of the limit.
 
     Parameters
     ----------
     http : Caller
         Makes the calls.
     view : FleetView
-        What is known of runners.
+        The known runners and their load.
     entry_hosts : callable
-        Returns how many hosts send.
+        Returns the number of entry hosts.
     """
 
     def __init__(
@@ -66,30 +69,39 @@
         self._entry_hosts = entry_hosts
         self._leader_url = ''
         self._unreachable_until_s = 0.0
-        self._known: dict[runner_life.RunnerLife, _KnownLimit] = {}
-        self._own: dict[runner_life.RunnerLife, rate_limit.TokenBucket] = {}
+        self._limits: dict[runner_life.RunnerLife, _AnnouncedLimit] = {}
+        self._local_buckets: dict[
+            runner_life.RunnerLife, rate_limit.TokenBucket
+        ] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(runners={len(self._known)!r})'
+        return f'{type(self).__name__}(runners={len(self._limits)!r})'
 
     def follow(self, leader_url: str) -> None:
-        """Take note of who leads, and report all limits to a new leader."""
+        """Switch to a leader and report all limits to a new one."""
         if leader_url == self._leader_url:
             return
         self._leader_url = leader_url
         self._unreachable_until_s = 0.0
         if not leader_url:
             return
-        for life, known in list(self._known.items()):
-            self._report_soon(life, known)
+        for incarnation, limit in list(self._limits.items()):
+            self._start_report(incarnation, limit)
 
     def note_answer(
         self, runner: runner_info.RunnerInfo, text: str | None
     ) -> None:
-        """Take what a runner's answer says of its limit, None for nothing.
+        """Parse and record the rate limit in a runner's response.
 
-        What cannot be read changes nothing, and is logged once.
+        A limit that cannot be parsed is logged once and otherwise ignored.
+
+        Parameters
+        ----------
+        runner : RunnerInfo
+            The runner.
+        text : str or None
+            The limit as received; None if the response announces none.
         """
         if text is None:
             self.note_limit(runner, None)
@@ -102,21 +114,21 @@
         if load.unreadable_limit != text:
             load.unreadable_limit = text
             LOG.warning(
-                'a limit cannot be read',
+                'invalid rate limit of a runner',
                 extra={'runner': runner.runner_id, 'text': text[:80]},
             )
 
     def note_limit(
         self, runner: runner_info.RunnerInfo, limit_per_s: float | None
     ) -> None:
-        """Take note of the limit, or of none, in a runner's answer."""
+        """Record the limit in a runner's response; None for no limit."""
         load = self._view.load(runner.runner_id)
-        known = self._known.get(runner.life)
-        if limit_per_s is None and known is None:
+        limit = self._limits.get(runner.life)
+        if limit_per_s is None and limit is None:
             return
         if limit_per_s != load.limit_per_s:
             LOG.info(
-                'runner limits its requests',
+                'rate limit of a runner changed',
                 extra={
                     'runner': runner.runner_id,
                     'limit_per_s': limit_per_s,
@@ -126,57 +138,60 @@
             )
         load.limit_per_s = limit_per_s
         now_s = _now_s()
-        reported_s = known.reported_s if known else 0.0
-        is_new = known is None or known.limit_per_s != limit_per_s
-        known = _KnownLimit(
+        reported_s = limit.reported_s if limit else 0.0
+        is_new = limit is None or limit.limit_per_s != limit_per_s
+        limit = _AnnouncedLimit(
             limit_per_s=limit_per_s, received_s=now_s, reported_s=reported_s
         )
-        self._known[runner.life] = known
+        self._limits[runner.life] = limit
         if limit_per_s is None:
             load.limited_until_s = 0.0
-            self._own.pop(runner.life, None)
+            self._local_buckets.pop(runner.life, None)
         if is_new or now_s - reported_s > REPORT_AGAIN_S:
-            self._report_soon(runner.life, known)
-        self._forget_gone()
+            self._start_report(runner.life, limit)
+        self._drop_gone_runners()
 
     async def take(self, runner: runner_info.RunnerInfo) -> bool:
         """Return whether a request may be sent to a runner now.
 
-        Where it may not, the runner's load says until when.
+        If not, ``limited_until_s`` of the runner's load is the time of the
+        next attempt.
         """
         load = self._view.load(runner.runner_id)
         if load.limit_per_s is None:
             return True
-        known = self._known.get(runner.life)
-        if known is None:
+        limit = self._limits.get(runner.life)
+        if limit is None:
             return True
         if load.is_limited(_now_s()):
             return False
-        got = await self._report(runner.life, known, takes=True)
-        if got is None:
-            return self._take_own(runner, load.limit_per_s)
-        self._own.pop(runner.life, None)
-        if got.allowed:
+        decision = await self._report(runner.life, limit, takes=True)
+        if decision is None:
+            return self._take_local_token(runner, load.limit_per_s)
+        self._local_buckets.pop(runner.life, None)
+        if decision.allowed:
             return True
-        load.limited_until_s = _now_s() + got.wait_s
+        load.limited_until_s = _now_s() + decision.wait_s
         return False
 
     def take_locally(self, runner: runner_info.RunnerInfo) -> bool:
-        """Return whether a request may be sent that no leader gave out."""
+        """Return whether a request may be sent without the leader."""
         limit_per_s = self._view.load(runner.runner_id).limit_per_s
-        return limit_per_s is None or self._take_own(runner, limit_per_s)
+        return limit_per_s is None or self._take_local_token(
+            runner, limit_per_s
+        )
 
-    def _take_own(
+    def _take_local_token(
         self, runner: runner_info.RunnerInfo, limit_per_s: float
     ) -> bool:
         now_s = _now_s()
         hosts = max(1, self._entry_hosts())
         rate_per_s = max(limit_per_s, rate_limit.LEAST_PER_S)
-        rate_per_s *= LOCAL_PART / hosts
-        bucket = self._own.get(runner.life)
+        rate_per_s *= LOCAL_SHARE / hosts
+        bucket = self._local_buckets.get(runner.life)
         if bucket is None:
             bucket = rate_limit.TokenBucket(rate_per_s=rate_per_s, now_s=now_s)
-            self._own[runner.life] = bucket
+            self._local_buckets[runner.life] = bucket
         bucket.change(rate_per_s, now_s)
         if bucket.has_token(now_s):
             bucket.take(now_s)
@@ -186,66 +201,77 @@
         load.limited_until_s = now_s + wait_s
         return False
 
-    def _report_soon(
-        self, life: runner_life.RunnerLife, known: _KnownLimit
+    def _start_report(
+        self, incarnation: runner_life.RunnerLife, limit: _AnnouncedLimit
     ) -> None:
-        task = asyncio.create_task(self._report(life, known, takes=False))
+        task = asyncio.create_task(
+            self._report(incarnation, limit, takes=False)
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _report(
-        self, life: runner_life.RunnerLife, known: _KnownLimit, *, takes: bool
-    ) -> _Answer | None:
-        """Report a limit; return the leader's answer, None without one."""
+        self,
+        incarnation: runner_life.RunnerLife,
+        limit: _AnnouncedLimit,
+        *,
+        takes: bool,
+    ) -> _Decision | None:
+        """Report a limit and return the leader's decision.
+
+        Returns None if the leader did not respond. With ``takes``, the
+        report also requests the permission to send one request.
+        """
         now_s = _now_s()
         if not self._leader_url or now_s < self._unreachable_until_s:
             return None
-        known.reported_s = now_s
-        got = await self._http.call(
+        limit.reported_s = now_s
+        reply = await self._http.call(
             method='POST',
             url=f'{self._leader_url}/v1/limits',
             body={
-                'runner_id': life.runner_id,
-                'started_ms': life.started_ms,
-                'limit_per_s': known.limit_per_s,
-                'age_s': max(0.0, now_s - known.received_s),
+                'runner_id': incarnation.runner_id,
+                'started_ms': incarnation.started_ms,
+                'limit_per_s': limit.limit_per_s,
+                'age_s': max(0.0, now_s - limit.received_s),
                 'takes': takes,
             },
             timeout_s=CALL_TIMEOUT_S,
             connect_tries_s=CONNECT_TRIES_S,
         )
-        if not isinstance(got, call_failed.CallFailed) and got.ok:
+        if not isinstance(reply, call_failed.CallFailed) and reply.ok:
             try:
-                body: dict[str, typing.Any] = got.json()
-                answer = _Answer(
+                body: dict[str, typing.Any] = reply.json()
+                decision = _Decision(
                     allowed=bool(body['allowed']),
                     wait_s=float(body['wait_s']),
                 )
-                if known.limit_per_s is None:
-                    # Reported with each answer until it arrived.
-                    self._known.pop(life, None)
-                return answer
+                if limit.limit_per_s is None:
+                    # The leader has received the end of the limit, which
+                    # is reported with each response until then.
+                    self._limits.pop(incarnation, None)
+                return decision
             except (ValueError, KeyError, TypeError) as exc:
                 reason = str(exc)
-        elif isinstance(got, call_failed.CallFailed):
-            reason = got.kind.value
+        elif isinstance(reply, call_failed.CallFailed):
+            reason = reply.kind.value
         else:
-            reason = f'status {got.status}'
-        known.reported_s = 0.0
+            reason = f'status {reply.status}'
+        limit.reported_s = 0.0
         self._unreachable_until_s = _now_s() + UNREACHABLE_S
         LOG.info(
-            'the leader does not answer for limits',
+            'could not report a rate limit to the leader',
             extra={'url': self._leader_url, 'reason': reason},
         )
         return None
 
-    def _forget_gone(self) -> None:
-        """Forget runners that have left or started again."""
-        for life in list(self._known):
-            runner = self._view.runner(life.runner_id)
-            if runner is None or runner.life != life:
-                self._known.pop(life)
-                self._own.pop(life, None)
+    def _drop_gone_runners(self) -> None:
+        """Drop the limits of runners that have left or restarted."""
+        for incarnation in list(self._limits):
+            runner = self._view.runner(incarnation.runner_id)
+            if runner is None or runner.life != incarnation:
+                self._limits.pop(incarnation)
+                self._local_buckets.pop(incarnation, None)
 
 
 def _now_s() -> float:
--- a/limpetroute/forwarding/responder.py
+++ b/limpetroute/forwarding/responder.py
@@ -7,13 +7,13 @@
 from tornado import httputil
 from tornado import iostream
 
-# A caller that reads nothing for this long is taken for gone: its link
-# may be silent for good, and the answer would hold a runner's memory.
+# A caller that reads nothing for this long counts as gone. Its connection
+# may be dead, and the open answer occupies memory of a runner.
 WRITE_TIMEOUT_S = 10.0
 
 
 class CallerGoneError(Exception):
-    """The caller has closed its connection, or reads nothing."""
+    """The caller has closed its connection or has stopped reading."""
 
 
 class Responder:
@@ -34,8 +34,8 @@
         closing: typing.Callable[[], bool],
     ) -> None:
         self._connection = connection
-        self._closing = closing
-        self._closes = False
+        self._should_close = closing
+        self._closes_connection = False
         self.gone = asyncio.Event()
         self.started = False
         self.finished = False
@@ -51,44 +51,44 @@
     ) -> None:
         """Write the status line, the headers and the first bytes."""
         self.started = True
-        self._closes = self._closing()
-        if self._closes:
+        self._closes_connection = self._should_close()
+        if self._closes_connection:
             headers['Connection'] = 'close'
         line = httputil.ResponseStartLine(
             'HTTP/1.1', status, httputil.responses.get(status, 'Unknown')
         )
-        await self._flushed(
+        await self._flush(
             lambda: self._connection.write_headers(line, headers, body or None)
         )
 
     async def write(self, data: bytes) -> None:
-        """Write a part of the body; returns once it may be followed."""
-        await self._flushed(lambda: self._connection.write(data))
+        """Write a chunk of the body and wait until it is flushed."""
+        await self._flush(lambda: self._connection.write(data))
 
     async def finish(self) -> None:
-        """End the answer as complete."""
+        """End a complete answer."""
         self.finished = True
         try:
             self._connection.finish()
         except (iostream.StreamClosedError, httputil.HTTPOutputError) as exc:
             raise CallerGoneError(str(exc)) from exc
-        if self._closes:
-            await self._close_flushed()
+        if self._closes_connection:
+            await self._close_after_flush()
 
     def abort(self) -> None:
-        """Break the answer off so that it cannot look complete."""
+        """Close the connection so that the answer cannot look complete."""
         self.finished = True
         self._connection.close()
 
     async def write_whole(
         self, status: int, headers: httputil.HTTPHeaders, body: bytes
     ) -> None:
-        """Write an answer at once."""
+        """Write a complete answer."""
         headers['Content-Length'] = str(len(body))
         await self.start(status, headers, body)
         await self.finish()
 
-    async def _flushed(
+    async def _flush(
         self, write: typing.Callable[[], 'asyncio.Future[None]']
     ) -> None:
         try:
@@ -98,12 +98,12 @@
             self.gone.set()
             raise CallerGoneError(str(exc)) from exc
 
-    async def _close_flushed(self) -> None:
-        """Close once the answer's last bytes have left."""
+    async def _close_after_flush(self) -> None:
+        """Close the connection after the answer's last bytes are flushed."""
         stream = self._connection.stream
         if stream is None or stream.closed():
             return
         try:
-            await self._flushed(lambda: stream.write(b''))
+            await self._flush(lambda: stream.write(b''))
         finally:
             self._connection.close()
--- a/limpetroute/forwarding/runner_call.py
+++ b/limpetroute/forwarding/runner_call.py
@@ -13,10 +13,10 @@
 from limpetroute.wire import call_failed
 from limpetroute.wire import connection
 
-# A connect takes a few milliseconds, some tens from a host that is
-# slowed. Links that lose 3 % of the packets lose one opening packet in
-# fifteen; a second try of 0.1 s finds out, and a runner that answers
-# neither is gone or cut off, with nothing sent to it yet.
+# A connect takes a few milliseconds, and some tens on a slow host. On
+# links that lose 3 % of the packets, one handshake in fifteen loses a
+# packet, so there is a second attempt. A runner that accepts neither
+# attempt has left or is unreachable, and nothing has been sent to it.
 CONNECT_TRIES_S = (0.1, 0.15)
 
 HTTP_SERVER_ERROR = 500
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SendFailure:
-    """A send that brought no response that may be used."""
+    """A send without a usable response."""
 
     result: send_result.SendResult
     detail: str
@@ -38,7 +38,7 @@
     runner : RunnerInfo
         The runner.
     dialect : Dialect
-        How runners are spoken to.
+        Formats of requests and responses.
     """
 
     def __init__(
@@ -66,11 +66,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the response arrived to its end."""
+        """Whether the response arrived completely."""
         return self._link.whole
 
     async def connect(self) -> SendFailure | None:
-        """Connect ahead of `open`, to learn whether the runner is there."""
+        """Connect before `open` to check that the runner is reachable."""
         failed = await self._link.connect(CONNECT_TRIES_S)
         if failed is None:
             return None
@@ -79,15 +79,18 @@
     async def open(
         self,
         request: caller_request.CallerRequest,
-        note: dialect_module.SendOptions,
+        options: dialect_module.SendOptions,
     ) -> SendFailure | None:
-        """Send the request and return once usable headers are here."""
+        """Send the request and wait for the headers of the response.
+
+        Returns None if the response is usable.
+        """
         failed = await self._link.send(
             method=request.method,
             path=request.target,
-            headers=self._dialect.runner_headers(request, note),
+            headers=self._dialect.runner_headers(request, options),
             body=request.body,
-            timeout_s=max(note.remaining_s, 0.001),
+            timeout_s=max(options.remaining_s, 0.001),
             connect_tries_s=CONNECT_TRIES_S,
         )
         if failed is not None:
@@ -102,8 +105,8 @@
                 detail=f'status {self.status}',
             )
         if not self._dialect.belongs_to(request, self.headers):
-            # A late second answer to another request; passed on, one
-            # caller would read what is another's.
+            # A late second response to another request. Relaying it would
+            # send one caller's data to another.
             self.close()
             return SendFailure(
                 result=send_result.SendResult.BROKEN,
@@ -112,16 +115,16 @@
         return None
 
     def chunks(self, idle_timeout_s: float) -> typing.AsyncIterator[bytes]:
-        """Yield the body; see `Connection.chunks`."""
+        """Yield the chunks of the body; see `Connection.chunks`."""
         return self._link.chunks(idle_timeout_s=idle_timeout_s)
 
     async def read(self, timeout_s: float) -> bytes | SendFailure:
         """Read the whole body."""
-        parts = []
+        chunks = []
         try:
             async with asyncio.timeout(timeout_s):
                 async for chunk in self.chunks(timeout_s):
-                    parts.append(chunk)
+                    chunks.append(chunk)
         except TimeoutError:
             return SendFailure(
                 result=send_result.SendResult.TIMED_OUT, detail='in the body'
@@ -130,10 +133,10 @@
             return SendFailure(
                 result=send_result.SendResult.BROKEN, detail='in the body'
             )
-        return b''.join(parts)
+        return b''.join(chunks)
 
     def close(self) -> None:
-        """End the connection; the runner drops what it still does."""
+        """Close the connection; the runner then cancels the request."""
         self._link.close()
 
 
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -1,4 +1,4 @@
-"""One forwarder process."""
+"""The server of a forwarder process."""
 
 import asyncio
 import logging
@@ -25,32 +25,32 @@
 
 LOG = logging.getLogger(__name__)
 
-# The balancer asks once a second and takes a host out after two misses;
-# a third second covers an answer that was on its way.
+# The load balancer checks readiness every second and removes a host after
+# two failed checks. The rest covers a check that was already under way.
 OUT_OF_ROTATION_S = 2.6
-# What is still open this long before the process would be killed is
-# broken off in order, so that the log can say so.
-LAST_WORD_S = 0.4
-# A plain call has a timeout of 0.8 s today, and callers wait 1.5 s at
-# most. What comes later than this before the end might be cut in the
-# middle of its run, so it is refused before it is sent.
-LAST_CALLS_S = 1.6
-LOOK_S = 0.05
+# Time before the process would be killed at which open requests are
+# aborted, so that the abort can be logged.
+ABORT_MARGIN_S = 0.4
+# Time before the abort from which plain calls are refused, because they
+# might be aborted while a runner processes them. A plain call has a
+# timeout of 0.8 s, and callers wait for 1.5 s at most.
+LAST_CALLS_MARGIN_S = 1.6
+POLL_INTERVAL_S = 0.05
 
 
 class ForwarderServer:
-    """One forwarder process.
+    """The server of a forwarder process.
 
     Parameters
     ----------
     settings : ForwarderSettings
-        Checked settings.
+        Validated settings.
     dialect : Dialect
-        How callers and runners are spoken to.
+        Formats of requests and responses.
     ready_path : str
-        Path at which the balancer asks.
+        Path of the load balancer's readiness check.
     read_seeds : callable
-        Returns the seeds of the settings file as it is now.
+        Returns the current seeds of the settings file.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self.view = fleet_view.FleetView(dialect=dialect)
         trust = settings.credentials()
         http = caller.Caller(tls=trust.client_tls, token=trust.token)
-        places = scheduler_client.SchedulerClient(http=http)
+        scheduler = scheduler_client.SchedulerClient(http=http)
         quarantine = quarantine_client.QuarantineClient(
             http=http, urls=lambda: self.watch.urls_leader_first()
         )
@@ -81,9 +81,9 @@
             urls=self._control_urls,
             host_id=settings.host_id,
             quarantine=quarantine,
-            on_leader=self._follow,
+            on_leader=self._set_leader,
         )
-        self._places = places
+        self._scheduler = scheduler
         self._limits = rate_limit_client.RateLimitClient(
             http=http,
             view=self.view,
@@ -92,45 +92,45 @@
         self._context = forward_context.ForwardContext(
             view=self.view,
             watch=self.watch,
-            scheduler=places,
+            scheduler=scheduler,
             quarantine=quarantine,
             limits=self._limits,
             dialect=dialect,
             meters=forward_meters.ForwardMeters(meter=self._exports.meter),
             zone=settings.zone,
-            make_retry_budget=self._make_budget,
+            make_retry_budget=self._make_retry_budget,
             rng=random.Random(),
         )
         self.forwarder = forwarder_module.Forwarder(context=self._context)
         self._front = front_server.FrontServer(
             forwarder=self.forwarder, dialect=dialect
         )
-        self.view.on_plan = self._apply_limits
-        self._side = admin_server.AdminServer(
+        self.view.on_plan = self._apply_caller_limits
+        self._admin = admin_server.AdminServer(
             ready_path=ready_path,
             is_ready=self.is_ready,
             metrics=self._exports.text,
         )
-        self._stopping = False
+        self._is_stopping = False
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(view={self.view!r})'
 
     @property
     def port(self) -> int:
-        """Port that callers talk to."""
+        """Port for callers."""
         return self._front.port
 
     def is_ready(self) -> bool:
-        """Return whether this host should be sent callers."""
-        return not self._stopping and self.view.plan is not None
+        """Return whether the load balancer should send callers here."""
+        return not self._is_stopping and self.view.plan is not None
 
     def start(self) -> None:
-        """Open the ports and follow the control hosts."""
+        """Open the ports and start to follow the control hosts."""
         settings = self.settings
         self._front.listen(settings.callers.address, settings.callers.port)
-        self._side.listen(settings.ready.address, settings.ready.port)
-        self._side.listen(settings.metrics.address, settings.metrics.port)
+        self._admin.listen(settings.ready.address, settings.ready.port)
+        self._admin.listen(settings.metrics.address, settings.metrics.port)
         self.watch.start()
         LOG.info(
             'started',
@@ -143,40 +143,41 @@
         )
 
     async def stop(self) -> None:
-        """Leave the balancer's rotation, finish what is open, and end.
-
-        Callers are sent here until the balancer has noticed, and longer
-        where it has too few other hosts: so the port stays open to the
-        end. Each answer closes its connection: a kept one would bring
-        requests up to the end. Once the balancer has noticed, new streams
-        that would outlast this host are sent elsewhere, and plain calls
-        shortly before the end, while a stream is still open.
+        """Leave the balancer's rotation, drain open requests, and stop.
+
+        The load balancer sends callers here until its checks fail, and
+        longer if it has too few other hosts, so the port stays open while
+        requests are active. Each answer closes its connection, because
+        callers would send more requests on a kept connection. After the
+        rotation time, this host refuses new streams that might outlast
+        it. Shortly before the abort it also refuses plain calls, if a
+        stream is still open.
         """
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
-        self._stopping = True
+        started_s = loop.time()
+        self._is_stopping = True
         self._front.closing = True
         LOG.info('stopping', extra={'active': self.forwarder.active})
         await asyncio.sleep(OUT_OF_ROTATION_S)
-        last_s = begun_s + self.settings.grace_s - LAST_WORD_S
-        self._context.shutdown_s = last_s
-        while self.forwarder.active and loop.time() < last_s:
-            if loop.time() > last_s - LAST_CALLS_S:
+        abort_s = started_s + self.settings.grace_s - ABORT_MARGIN_S
+        self._context.shutdown_s = abort_s
+        while self.forwarder.active and loop.time() < abort_s:
+            if loop.time() > abort_s - LAST_CALLS_MARGIN_S:
                 self._context.accepts_calls = False
                 self._front.stop_listening()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         self._front.stop_listening()
         LOG.info('stopped', extra={'broken_off': self.forwarder.active})
         self.watch.stop()
         self._context.quarantine.stop()
         await self._front.close()
-        self._side.close()
+        self._admin.close()
 
-    def _follow(self, leader_url: str) -> None:
-        self._places.follow(leader_url)
+    def _set_leader(self, leader_url: str) -> None:
+        self._scheduler.follow(leader_url)
         self._limits.follow(leader_url)
 
-    def _apply_limits(self, plan: route_plan.RoutePlan) -> None:
+    def _apply_caller_limits(self, plan: route_plan.RoutePlan) -> None:
         self._front.apply_limits(plan.limits)
 
     def _control_urls(self) -> list[str]:
@@ -188,8 +189,10 @@
             for host in hosts
         ]
 
-    def _make_budget(self) -> send_budget.SendBudget:
-        budget = self.settings.send_budget
+    def _make_retry_budget(self) -> send_budget.SendBudget:
+        settings = self.settings.send_budget
         return send_budget.SendBudget(
-            ratio=budget.ratio, slack=budget.slack, window_s=budget.window_s
+            ratio=settings.ratio,
+            slack=settings.slack,
+            window_s=settings.window_s,
         )
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -335,7 +335,7 @@
     ) -> None:
         """Record how a complete answer compares with its forecast."""
         meters = self._context.meters
-        meters.longest_pause(self._relay.longest_gap_ms / 1000)
+        meters.longest_gap(self._relay.longest_gap_ms / 1000)
         first_ms = self._relay.first_event_ms
         if predicted is None or first_ms is None or resumed:
             return
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -186,4 +186,4 @@
         assert got == [200, 200, 200]
 
     asyncio.run(work())
-    assert caplog.text.count('a limit cannot be read') == 1
+    assert caplog.text.count('invalid rate limit of a runner') == 1
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -91,7 +91,7 @@
 
 
 def test_what_could_not_be_told_is_told_again(monkeypatch):
-    monkeypatch.setattr(quarantine_client, 'RETRY_S', 0.01)
+    monkeypatch.setattr(quarantine_client, 'RETRY_DELAY_S', 0.01)
 
     async def work():
         control = Control(trial=WAIT)
@@ -209,7 +209,7 @@
         assert len(client._unreported) == quarantine_client.MAX_UNREPORTED
         for number in range(2 * quarantine.KEPT_REQUESTS):
             client._refuse(f'f{number}', 5.0)
-        assert len(client._waits_until_s) == quarantine.KEPT_REQUESTS
+        assert len(client._refused_until_s) == quarantine.KEPT_REQUESTS
         client.stop()
 
     asyncio.run(work())
