--- a/tests/forwarding/harness.py
+++ b/tests/forwarding/harness.py
@@ -1,4 +1,4 @@
-"""A forwarder in front of scripted runners, in one process."""
+"""Runs a forwarder and scripted runners in one process."""
 
 import asyncio
 import contextlib
@@ -66,14 +66,16 @@
             forwarder=self.forwarder, dialect=self.dialect
         )
 
-    async def ask(self, target='/a/x', *, method='GET', body=b'', more=''):
-        """Send one request and return the raw answer up to its end."""
+    async def request(
+        self, target='/a/x', *, method='GET', body=b'', headers=''
+    ):
+        """Send one request and return the complete raw response."""
         reader, writer = await self.connect()
         length = f'Content-Length: {len(body)}\r\n' if body else ''
         writer.write(
             f'{method} {target} HTTP/1.1\r\nHost: h.example\r\n'
             f'Request-Id: q1\r\nDeadline-Ms: 3000\r\n'
-            f'Connection: close\r\n{length}{more}\r\n'.encode()
+            f'Connection: close\r\n{length}{headers}\r\n'.encode()
             + body
         )
         await writer.drain()
@@ -91,24 +93,24 @@
 
 @contextlib.asynccontextmanager
 async def running(scripts, *, stages=None, dead=(), **fields):
-    """Run a forwarder whose only route has ``fields``."""
+    """Run a forwarder whose only route has the given fields."""
     servers = []
-    infos = []
-    is_stream = fields.get('kind') is route_kind.RouteKind.STREAM
-    name = 'model' if is_stream else 'plain'
+    runner_infos = []
+    streams = fields.get('kind') is route_kind.RouteKind.STREAM
+    name = 'model' if streams else 'plain'
     for number, script in enumerate(scripts):
         server = await scripted_runner.ScriptedRunner(script).start()
         servers.append(server)
         stage = stages[number] if stages else None
         info = builders.make_runner(f'r{number}', stage, port=server.port)
-        infos.append(dataclasses.replace(info, service=name))
+        runner_infos.append(dataclasses.replace(info, service=name))
     values = {'shares': (route.Share(service=name, weight=1.0),), **fields}
-    engine = builders.ENGINE if is_stream else None
+    engine = builders.ENGINE if streams else None
     plan = builders.make_plan(
         builders.make_route(**values),
         services=(builders.make_service(name, engine),),
     )
-    harness = Harness(plan, infos)
+    harness = Harness(plan, runner_infos)
     harness.front.listen('127.0.0.1', 0)
     try:
         yield harness, servers
--- a/tests/forwarding/large_routes.py
+++ b/tests/forwarding/large_routes.py
@@ -1,4 +1,4 @@
-"""Routing configurations of many routes, and a host that follows them."""
+"""Large routing configurations, and a host that receives them."""
 
 import asyncio
 import contextlib
@@ -13,13 +13,13 @@
 from tests.control import seed_fleet
 from tests.forwarding import slow_link
 
-# The slowest link of an entry host: 5 Mbit/s.
+# The slowest link of an entry host has 5 Mbit/s.
 LINK_BYTES_PER_S = 625_000
 HOST = '127.0.0.21'
 
 
 def text(version, routes, **limits):
-    """Return a configuration; its first routes are always the same."""
+    """Return a configuration; a given route number always looks the same."""
     body = {
         'version': version,
         'routes': [_route(number) for number in range(routes)],
@@ -36,11 +36,11 @@
 
 
 def _route(number):
-    word = hashlib.sha256(str(number).encode()).hexdigest()
+    digest_text = hashlib.sha256(str(number).encode()).hexdigest()
     return {
-        'name': f'r-{word[:7]}',
+        'name': f'r-{digest_text[:7]}',
         'host': f'h{number % 3}.example',
-        'path-prefix': f'/{word[7:15]}/',
+        'path-prefix': f'/{digest_text[7:15]}/',
         'kind': 'idempotent',
         'timeout-ms': 1500,
         'slo-ms': 350,
@@ -53,7 +53,7 @@
 
 
 class Follower:
-    """An entry host, as far as it follows control hosts."""
+    """The part of an entry host that follows control hosts."""
 
     def __init__(self, link, urls, host_id='entry-1'):
         self.link = link
@@ -76,7 +76,7 @@
 
 @contextlib.asynccontextmanager
 async def following(folder, bytes_per_s=LINK_BYTES_PER_S):
-    """Run one control host, and an entry host behind a slow link."""
+    """Run a control host and an entry host behind a slow link."""
     fleet = seed_fleet.SeedFleet(folder, [HOST], tolerated_losses=0)
     link = slow_link.SlowLink(bytes_per_s)
     fleet.start(HOST)
@@ -97,12 +97,12 @@
     assert got.in_force
 
 
-async def in_force_after_s(follower, version, limit_s):
-    """Return how long a version took; the limit if it did not come."""
+async def time_to_version_s(follower, version, max_wait_s):
+    """Return the time until a version is in force, at most the limit."""
     loop = asyncio.get_running_loop()
-    begun_s = loop.time()
+    started_s = loop.time()
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(max_wait_s):
             while follower.version != version:
                 await asyncio.sleep(0.01)
-    return loop.time() - begun_s
+    return loop.time() - started_s
--- a/tests/forwarding/measure_routes.py
+++ b/tests/forwarding/measure_routes.py
@@ -1,4 +1,4 @@
-"""Measures what a routing configuration costs, by its number of routes.
+"""Measures the cost of routing configurations by their number of routes.
 
 Run it with ``python -m tests.forwarding.measure_routes``.
 """
@@ -24,21 +24,21 @@
     print('entry CPU ms load, change | control CPU ms split, update')
     for size in SIZES:
         with tempfile.TemporaryDirectory() as folder:
-            over_link = asyncio.run(_over_link(pathlib.Path(folder), size))
+            link_cost = asyncio.run(_link_cost(pathlib.Path(folder), size))
         document_kb = len(large_routes.text(1, size)) / 1000
-        print(f'{size} | {document_kb:.0f} | {over_link} | {_cpu(size)}')
+        print(f'{size} | {document_kb:.0f} | {link_cost} | {_cpu_cost(size)}')
 
 
-async def _over_link(folder, size):
+async def _link_cost(folder, size):
     async with large_routes.following(folder) as (fleet, follower):
         await large_routes.submit(fleet, 1, large_routes.text(1, size))
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         follower.watch.start()
-        await large_routes.in_force_after_s(follower, 1, 30.0)
-        load_s = time.monotonic() - begun_s
+        await large_routes.time_to_version_s(follower, 1, 30.0)
+        load_s = time.monotonic() - started_s
         load_bytes = follower.link.bytes_in
         await large_routes.submit(fleet, 2, large_routes.text(2, size + 1))
-        change_s = await large_routes.in_force_after_s(follower, 2, 30.0)
+        change_s = await large_routes.time_to_version_s(follower, 2, 30.0)
         assert follower.version == 2
         change_bytes = follower.link.bytes_in - load_bytes
     return (
@@ -47,7 +47,7 @@
     )
 
 
-def _cpu(size):
+def _cpu_cost(size):
     recent = recent_routes.RecentRoutes()
     view = fleet_view.FleetView(dialect=http_dialect.HttpDialect())
     times_ms = []
@@ -59,18 +59,20 @@
                 version=version, digest=digest, text=text
             )
         )
-        split_ms = _took_ms(lambda digest=digest: recent.get(digest))
+        split_ms = _cpu_time_ms(lambda digest=digest: recent.get(digest))
         held = view.routes.digest
-        begun_s = time.process_time()
+        started_s = time.process_time()
         update = recent.update(held, digest)
-        update_ms = (time.process_time() - begun_s) * MILLIS
-        take_ms = _took_ms(lambda update=update: _take(view, update.text))
-        times_ms.append((split_ms, update_ms, take_ms))
+        update_ms = (time.process_time() - started_s) * MILLIS
+        apply_ms = _cpu_time_ms(
+            lambda update=update: _apply(view, update.text)
+        )
+        times_ms.append((split_ms, update_ms, apply_ms))
     load, change = times_ms
     return f'{load[2]:.1f}, {change[2]:.1f} | {change[0]:.1f}, {change[1]:.1f}'
 
 
-def _take(view, text):
+def _apply(view, text):
     body = routes_update_body.RoutesUpdateBody.model_validate_json(text)
     update = body.to_update()
     copy = view.routes.apply(update)
@@ -78,10 +80,10 @@
     view.apply_routes(copy)
 
 
-def _took_ms(work):
-    begun_s = time.process_time()
+def _cpu_time_ms(work):
+    started_s = time.process_time()
     work()
-    return (time.process_time() - begun_s) * MILLIS
+    return (time.process_time() - started_s) * MILLIS
 
 
 if __name__ == '__main__':
--- a/tests/forwarding/scripted_runner.py
+++ b/tests/forwarding/scripted_runner.py
@@ -1,11 +1,11 @@
-"""A runner that answers each request as the test says."""
+"""A runner whose responses are defined by a test."""
 
 import asyncio
 import dataclasses
 
 
 @dataclasses.dataclass
-class Seen:
+class ReceivedRequest:
     head: str
     body: bytes = b''
     closed: bool = False
@@ -47,13 +47,13 @@
 
 
 class ScriptedRunner:
-    """Calls ``script(seen, writer)`` for each request."""
+    """Calls ``script(request, writer)`` for each request."""
 
     def __init__(self, script):
         self.script = script
-        self.seen = []
-        # Connections that are closed before a request is read.
-        self.close_first = 0
+        self.requests = []
+        # Number of next connections to close before reading a request.
+        self.connections_to_close = 0
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
@@ -64,8 +64,8 @@
         self._server.close()
 
     async def _serve(self, reader, writer):
-        if self.close_first:
-            self.close_first -= 1
+        if self.connections_to_close:
+            self.connections_to_close -= 1
             writer.close()
             return
         try:
@@ -73,29 +73,33 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
             return
-        seen = Seen(head.rstrip('\r\n'))
-        self.seen.append(seen)
-        length = int(seen.header('Content-Length') or 0)
-        watch = None
+        request = ReceivedRequest(head.rstrip('\r\n'))
+        self.requests.append(request)
+        length = int(request.header('Content-Length') or 0)
+        closing_task = None
         try:
             if length and not getattr(self, 'skips_body', False):
-                seen.body = await reader.readexactly(length)
-            watch = asyncio.create_task(self._watch(reader, seen))
-            await self.script(seen, writer)
+                request.body = await reader.readexactly(length)
+            closing_task = asyncio.create_task(
+                self._note_closing(reader, request)
+            )
+            await self.script(request, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
-            seen.closed = True
+            request.closed = True
         finally:
-            if watch is not None and not getattr(self, 'lingers', False):
-                watch.cancel()
+            if closing_task is not None and not getattr(
+                self, 'lingers', False
+            ):
+                closing_task.cancel()
             writer.close()
 
-    async def _watch(self, reader, seen):
+    async def _note_closing(self, reader, request):
         await reader.read()
-        seen.closed = True
+        request.closed = True
 
 
 def answers(data):
-    async def script(seen, writer):
+    async def script(request, writer):
         writer.write(data)
         await writer.drain()
 
--- a/tests/forwarding/slow_link.py
+++ b/tests/forwarding/slow_link.py
@@ -1,4 +1,4 @@
-"""A host's link to others, of a given capacity, on 127.0.0.1."""
+"""Emulates a network link of limited bandwidth on 127.0.0.1."""
 
 import asyncio
 import contextlib
@@ -10,26 +10,26 @@
 
 
 class SlowLink:
-    """Proxies to any target; all of them share the way in.
+    """Proxies connections to any target over one shared incoming link.
 
-    Bytes that were under way when a caller hung up stay on the link, as
-    they do on a real one. With ``break_each_s``, all connections are
-    broken so often.
+    Bytes that were in transit when a caller disconnected still occupy the
+    link, as on a real network. If ``break_interval_s`` is set, a
+    connection is broken once per interval.
     """
 
     def __init__(self, bytes_per_s):
         self.bytes_per_s = bytes_per_s
         self.bytes_in = 0
-        self.broken = 0
-        self.break_each_s = None
-        self._break_s = 0.0
+        self.broken_connections = 0
+        self.break_interval_s = None
+        self._next_break_s = 0.0
         self.connections = 0
-        self._free_s = 0.0
+        self._busy_until_s = 0.0
         self._servers = {}
         self._tasks = set()
 
     async def port_to(self, host, port):
-        """Return the local port that leads to an address."""
+        """Return the local port that forwards to an address."""
         if (host, port) not in self._servers:
 
             async def serve(reader, writer):
@@ -50,49 +50,49 @@
         task = asyncio.current_task()
         self._tasks.add(task)
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 host, port, limit=2 * PIECE_BYTES
             )
-            out = asyncio.create_task(_copy(reader, far_writer))
+            upload = asyncio.create_task(_copy(reader, target_writer))
             try:
-                await self._carry(far_reader, writer)
+                await self._copy_limited(target_reader, writer)
             finally:
-                out.cancel()
-                far_writer.close()
+                upload.cancel()
+                target_writer.close()
                 writer.close()
         except (OSError, asyncio.CancelledError):
-            # The test is over, or an end has hung up.
+            # The test has ended, or one side has disconnected.
             writer.close()
         finally:
             self._tasks.discard(task)
 
-    async def _carry(self, reader, writer):
+    async def _copy_limited(self, reader, writer):
         loop = asyncio.get_running_loop()
         while piece := await reader.read(PIECE_BYTES):
-            if self.break_each_s and loop.time() > self._break_s:
-                self._break_s = loop.time() + self.break_each_s
-                self.broken += 1
+            if self.break_interval_s and loop.time() > self._next_break_s:
+                self._next_break_s = loop.time() + self.break_interval_s
+                self.broken_connections += 1
                 return
             self.bytes_in += len(piece)
             took_s = len(piece) / self.bytes_per_s
-            self._free_s = max(self._free_s, loop.time()) + took_s
-            await asyncio.sleep(self._free_s - loop.time())
+            self._busy_until_s = max(self._busy_until_s, loop.time()) + took_s
+            await asyncio.sleep(self._busy_until_s - loop.time())
             writer.write(piece)
             await writer.drain()
 
 
 class LinkedCaller(caller.Caller):
-    """Makes its calls through a link."""
+    """Makes all calls through a link."""
 
     def __init__(self, link):
         super().__init__(unzips=True)
-        self._through = link
+        self._link = link
 
     async def open(self, *, url, **kwargs):
         parts = urllib.parse.urlsplit(url)
-        port = await self._through.port_to(parts.hostname, parts.port)
-        through = parts._replace(netloc=f'127.0.0.1:{port}').geturl()
-        return await super().open(url=through, **kwargs)
+        port = await self._link.port_to(parts.hostname, parts.port)
+        link_url = parts._replace(netloc=f'127.0.0.1:{port}').geturl()
+        return await super().open(url=link_url, **kwargs)
 
 
 async def _copy(reader, writer):
--- a/tests/forwarding/test_control_watch.py
+++ b/tests/forwarding/test_control_watch.py
@@ -1,4 +1,4 @@
-"""What an entry host tells of the control hosts that it follows."""
+"""Tests for the log lines about followed control hosts."""
 
 import asyncio
 import logging
@@ -9,15 +9,17 @@
 from limpetroute.platform import http_dialect
 from limpetroute.wire import caller
 
-PART = b'x' * 1000
+PARTIAL_BODY = b'x' * 1000
 
 
 def test_a_lost_control_host_is_logged_with_the_reason(caplog):
-    """On-call engineers must tell a dead host from a slow answer."""
+    """On-call engineers must distinguish a dead host from a slow response."""
 
     async def stall(reader, writer):
         await reader.readuntil(b'\r\n\r\n')
-        writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n' + PART)
+        writer.write(
+            b'HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n' + PARTIAL_BODY
+        )
         await reader.read()
         writer.close()
 
@@ -45,5 +47,5 @@
         asyncio.run(work())
     record = caplog.records[0]
     assert record.message == 'lost the control host'
-    assert record.reason == f'timeout after {len(PART)} bytes'
+    assert record.reason == f'timeout after {len(PARTIAL_BODY)} bytes'
     assert record.took_ms >= 1000 * control_watch.RESPONSE_MARGIN_S
--- a/tests/forwarding/test_crash_check.py
+++ b/tests/forwarding/test_crash_check.py
@@ -1,4 +1,4 @@
-"""A runner that crashed, told from one that broke an answer off."""
+"""Tests that a crash is distinguished from a broken-off response."""
 
 import asyncio
 import dataclasses
@@ -26,9 +26,9 @@
     return port
 
 
-def _crashed(runner, *known):
+def _crashed(runner, *view_runners):
     async def work():
-        return await crash_check.has_crashed(runner, _view(*known))
+        return await crash_check.has_crashed(runner, _view(*view_runners))
 
     return asyncio.run(work())
 
@@ -38,7 +38,7 @@
     assert _crashed(runner, runner)
 
 
-def test_one_that_takes_connections_only_broke_an_answer_off():
+def test_a_runner_that_accepts_connections_has_not_crashed():
     async def work():
         server = await asyncio.start_server(
             lambda r, w: w.close(), '127.0.0.1', 0
@@ -51,8 +51,11 @@
     assert not asyncio.run(work())
 
 
-def test_one_that_is_cut_off_answers_nothing_and_is_no_evidence(monkeypatch):
-    """Each cut would count as a crash of all that was there."""
+def test_an_unreachable_runner_does_not_count_as_crashed(monkeypatch):
+    """Otherwise each network failure would look like a crash.
+
+    All requests at the runner would then count as suspects.
+    """
 
     async def silent(link, tries_s):
         return call_failed.CallFailed(
@@ -64,12 +67,12 @@
     assert not _crashed(runner, runner)
 
 
-def test_one_that_said_that_it_leaves_has_not_crashed():
+def test_a_runner_that_announced_its_leaving_has_not_crashed():
     runner = builders.make_runner('r', port=asyncio.run(_closed_port()))
     assert not _crashed(runner, dataclasses.replace(runner, ready=False))
     assert not _crashed(runner)
 
 
-def test_one_that_has_started_again_is_another_life():
+def test_a_restarted_runner_has_not_crashed():
     runner = builders.make_runner('r', port=asyncio.run(_closed_port()))
     assert not _crashed(runner, dataclasses.replace(runner, started_ms=7))
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -1,4 +1,4 @@
-"""One host's part in keeping to the limits that runners name."""
+"""Tests of how one host enforces the rate limits of runners."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 class Leader:
-    """Answers calls as the test says; None is silence."""
+    """Responds with a body set by the test; None is a timeout."""
 
     def __init__(self, body=b'{"allowed": true, "wait_s": 0.0}'):
         self.body = body
@@ -55,7 +55,7 @@
     asyncio.run(work())
 
 
-def test_each_request_to_a_limited_runner_is_given_out_by_the_leader():
+def test_the_leader_grants_each_request_to_a_limited_runner():
     async def work():
         leader = Leader()
         host = Host(leader)
@@ -68,7 +68,7 @@
         assert host.view.load('r').is_limited(
             asyncio.get_running_loop().time() + 0.25
         )
-        # Known until then: no further call.
+        # The refusal still holds, so there is no further call.
         assert not await host.take()
         assert len([one for one in leader.calls if one['takes']]) == 2
 
@@ -76,15 +76,15 @@
 
 
 def test_a_host_without_a_leader_sends_a_part_of_its_share(monkeypatch):
-    """Hosts that are cut off together stay within the limit."""
+    """Hosts that cannot reach a leader stay within the limit together."""
     monkeypatch.setattr(rate_limit_client, 'UNREACHABLE_S', 0.02)
 
     async def work():
         host = Host(Leader(None), hosts=2)
         host.client.note_limit(host.runner, 40.0)
         sent = 0
-        until_s = asyncio.get_running_loop().time() + 1.0
-        while asyncio.get_running_loop().time() < until_s:
+        end_s = asyncio.get_running_loop().time() + 1.0
+        while asyncio.get_running_loop().time() < end_s:
             sent += await host.take()
             await asyncio.sleep(0.005)
         assert 2 <= sent <= 40.0 / 2
@@ -92,7 +92,7 @@
     asyncio.run(work())
 
 
-def test_a_new_leader_is_told_what_is_known():
+def test_known_limits_are_reported_to_a_new_leader():
     async def work():
         leader = Leader()
         host = Host(leader)
@@ -106,8 +106,8 @@
     asyncio.run(work())
 
 
-def test_that_a_limit_is_taken_back_is_told_until_it_is_known(monkeypatch):
-    """The leader would place streams by a limit that is gone."""
+def test_the_end_of_a_limit_is_reported_until_received(monkeypatch):
+    """Otherwise the leader keeps placing streams by an outdated limit."""
     monkeypatch.setattr(rate_limit_client, 'UNREACHABLE_S', 0.0)
     monkeypatch.setattr(rate_limit_client, 'REPORT_AGAIN_S', 0.0)
 
@@ -132,7 +132,7 @@
     asyncio.run(work())
 
 
-def test_a_runner_that_started_again_has_no_limit_yet():
+def test_a_restarted_runner_has_no_limit_yet():
     async def work():
         host = Host(Leader())
         host.client.note_limit(host.runner, 3.0)
@@ -144,7 +144,7 @@
     asyncio.run(work())
 
 
-def test_a_limited_runner_is_passed_over_until_its_turn():
+def test_a_limited_runner_is_skipped_until_its_limit_allows_a_request():
     runners = [builders.make_runner(name, None) for name in ('r1', 'r2')]
     view = fleet_view.FleetView(dialect=http_dialect.HttpDialect())
     view.load('r1').limited_until_s = 10.3
@@ -157,18 +157,18 @@
     assert plain_choice.limit_wait_s(runners[1:], **args) == 0.0
 
 
-def _named(text):
+def _announces(text):
     return scripted_runner.answers(
         scripted_runner.response(Server_Limit=text, Connection='close')
     )
 
 
-def test_what_no_runner_takes_is_refused_with_the_time_to_come_back():
+def test_a_request_beyond_all_limits_is_refused_with_a_retry_time():
     async def work():
         kind = {'kind': route_kind.RouteKind.IDEMPOTENT}
-        async with harness.running([_named('2.0')], **kind) as (front, _):
-            assert harness.status(await front.ask()) == 200
-            refused = await front.ask()
+        async with harness.running([_announces('2.0')], **kind) as (front, _):
+            assert harness.status(await front.request()) == 200
+            refused = await front.request()
         assert harness.status(refused) == 503
         assert b'Retry-After: 0.' in refused
         assert b'runners take no more' in refused
@@ -176,13 +176,13 @@
     asyncio.run(work())
 
 
-def test_a_limit_that_cannot_be_read_keeps_no_work_from_a_runner(caplog):
+def test_an_invalid_limit_keeps_no_requests_from_a_runner(caplog):
     caplog.set_level('INFO')
 
     async def work():
         kind = {'kind': route_kind.RouteKind.IDEMPOTENT}
-        async with harness.running([_named('nan')], **kind) as (front, _):
-            got = [harness.status(await front.ask()) for _ in range(3)]
+        async with harness.running([_announces('nan')], **kind) as (front, _):
+            got = [harness.status(await front.request()) for _ in range(3)]
         assert got == [200, 200, 200]
 
     asyncio.run(work())
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain requests, and every way in which a runner can spoil one."""
+"""Tests of plain requests and of all ways in which a runner breaks one."""
 
 import asyncio
 
@@ -17,22 +17,22 @@
     return asyncio.run(work)
 
 
-async def _reset(seen, writer):
+async def _reset(request, writer):
     writer.transport.abort()
 
 
-async def _truncated(seen, writer):
+async def _truncated(request, writer):
     writer.write(scripted_runner.response(b'whole answer')[:-4])
     await writer.drain()
 
 
-async def _garbage(seen, writer):
+async def _garbage(request, writer):
     writer.write(b'\x00\x01 nonsense\r\n\r\n')
     await writer.drain()
 
 
-async def _unframed_reset(seen, writer):
-    """Answers without a length and resets before the end."""
+async def _unframed_reset(request, writer):
+    """Respond without a length and reset the connection before the end."""
     data = scripted_runner.response(b'half of it', Content_Length=None)
     writer.write(data)
     await writer.drain()
@@ -42,12 +42,18 @@
     writer.transport.abort()
 
 
-async def _another_answer(seen, writer):
+async def _response_to_another_request(request, writer):
     writer.write(scripted_runner.response(b'not yours', Request_Id='other'))
     await writer.drain()
 
 
-BROKEN = [_reset, _truncated, _garbage, _unframed_reset, _another_answer]
+BREAKING_SCRIPTS = [
+    _reset,
+    _truncated,
+    _garbage,
+    _unframed_reset,
+    _response_to_another_request,
+]
 
 
 @pytest.mark.parametrize('kind', list(route_kind.RouteKind)[:2])
@@ -56,23 +62,23 @@
         answer = scripted_runner.response(b'\x00\xffbytes', 201, 'stamp.9')
         script = scripted_runner.answers(answer)
         async with harness.running([script], kind=kind) as (front, runners):
-            got = await front.ask(
+            got = await front.request(
                 '/a/x%20y?q=1&r=%2F',
                 method='POST',
                 body=b'\x01\x02',
-                more='X-Other: kept\r\n',
+                headers='X-Other: kept\r\n',
             )
-            (seen,) = runners[0].seen
+            (request,) = runners[0].requests
         assert harness.status(got) == 201
         assert got.endswith(b'\r\n\r\n\x00\xffbytes')
         assert b'Runner-Stamp: stamp.9' in got
-        assert seen.target == '/a/x%20y?q=1&r=%2F'
-        assert seen.body == b'\x01\x02'
-        assert seen.header('Host') == 'h.example'
-        assert seen.header('X-Other') == 'kept'
-        assert seen.header('Request-Id') == 'q1'
-        assert seen.header('Expect-Instance') == 'r0'
-        assert 2000 < int(seen.header('Deadline-Ms')) <= 3000
+        assert request.target == '/a/x%20y?q=1&r=%2F'
+        assert request.body == b'\x01\x02'
+        assert request.header('Host') == 'h.example'
+        assert request.header('X-Other') == 'kept'
+        assert request.header('Request-Id') == 'q1'
+        assert request.header('Expect-Instance') == 'r0'
+        assert 2000 < int(request.header('Deadline-Ms')) <= 3000
 
     run(work())
 
@@ -87,42 +93,43 @@
                 b'3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n'
             )
             got = await reader.read()
-            (seen,) = runners[0].seen
+            (request,) = runners[0].requests
         assert harness.status(got) == 200
-        assert seen.body == b'abcdefg'
+        assert request.body == b'abcdefg'
 
     run(work())
 
 
-@pytest.mark.parametrize('broken', BROKEN)
+@pytest.mark.parametrize('broken', BREAKING_SCRIPTS)
 def test_an_idempotent_request_goes_to_another_runner(broken):
     async def work():
         async with harness.running([broken, broken, GOOD], max_sends=3) as (
             front,
             _,
         ):
-            got = await front.ask()
+            got = await front.request()
         assert harness.status(got) == 200
         assert got.endswith(b'whole answer')
 
     run(work())
 
 
-@pytest.mark.parametrize('broken', BROKEN)
+@pytest.mark.parametrize('broken', BREAKING_SCRIPTS)
 def test_a_request_that_must_run_once_is_never_sent_again(broken):
-    """A release is confirmed twice to a beneficiary.
+    """Guards against a request that runs twice, such as a payment.
 
-    The runner runs it, then its answer breaks. A router that sends the
-    request to another runner has it run again. The caller must be told
-    that the outcome is unknown, and not that it did not run.
+    The runner executes the request, and then its response breaks off.
+    Sending the request to another runner would execute it again. The
+    caller must get an error that says that the outcome is unknown, and
+    not that the request did not run.
     """
 
     async def work():
         async with harness.running(
             [broken, broken], kind=ONCE, max_sends=2
         ) as (front, runners):
-            got = await front.ask(method='POST', body=b'x')
-            sends = sum(len(one.seen) for one in runners)
+            got = await front.request(method='POST', body=b'x')
+            sends = sum(len(one.requests) for one in runners)
         assert sends == 1
         assert harness.status(got) == 502
         assert b'Runner-Stamp' not in got
@@ -138,8 +145,8 @@
         async with harness.running(
             [refuse, refuse], kind=ONCE, max_sends=2
         ) as (front, runners):
-            got = await front.ask(method='POST', body=b'x')
-            sends = sum(len(one.seen) for one in runners)
+            got = await front.request(method='POST', body=b'x')
+            sends = sum(len(one.requests) for one in runners)
         assert sends == 2
         assert harness.status(got) == 503
         assert b'Retry-After' in got
@@ -147,25 +154,25 @@
     run(work())
 
 
-def test_another_runner_at_the_address_costs_nothing():
+def test_a_misdirected_send_does_not_count_as_run():
     async def work():
         other = scripted_runner.answers(scripted_runner.response(b'', 421))
         async with harness.running(
             [other, GOOD, other], kind=ONCE, max_sends=3
         ) as (front, _):
-            got = await front.ask(method='POST', body=b'x')
+            got = await front.request(method='POST', body=b'x')
         assert harness.status(got) == 200
 
     run(work())
 
 
-def test_a_runners_own_error_is_its_own():
+def test_a_runners_error_response_is_relayed():
     async def work():
         error = scripted_runner.answers(
             scripted_runner.response(b'my error', 500, 'stamp.3')
         )
         async with harness.running([error], max_sends=1) as (front, _):
-            got = await front.ask()
+            got = await front.request()
         assert harness.status(got) == 500
         assert got.endswith(b'my error')
         assert b'stamp.3' in got
@@ -174,7 +181,7 @@
 
 
 def test_extra_bytes_after_an_answer_reach_nobody():
-    """A runner sends a second answer; the next caller must not get it."""
+    """A runner sends two responses; the next caller must not get either."""
 
     async def work():
         twice = scripted_runner.response(b'mine') + scripted_runner.response(
@@ -185,7 +192,7 @@
             _,
         ):
             for _ in range(3):
-                got = await front.ask()
+                got = await front.request()
                 assert got.endswith(b'mine')
                 assert b'extra' not in got
 
@@ -197,7 +204,7 @@
         data = scripted_runner.response(b'all of it', Content_Length=None)
         script = scripted_runner.answers(data)
         async with harness.running([script]) as (front, _):
-            got = await front.ask()
+            got = await front.request()
         assert harness.status(got) == 200
         assert got.endswith(b'all of it')
 
@@ -205,10 +212,10 @@
 
 
 def test_an_early_answer_to_a_long_body_comes_through():
-    """A runner answers before it has read a long request.
+    """A runner responds before it has read all of a long request.
 
-    A router that first writes all of the body waits for a reader that
-    waits for its answer to be read: both stand still.
+    A router that writes the whole body before it reads the response would
+    deadlock with a runner that waits for its response to be read.
     """
 
     async def work():
@@ -219,7 +226,7 @@
             runners[0].skips_body = True
             body = b'x' * 3_000_000
             async with asyncio.timeout(2.5):
-                got = await front.ask(method='POST', body=body)
+                got = await front.request(method='POST', body=body)
         assert harness.status(got) == 413
 
     run(work())
@@ -227,14 +234,14 @@
 
 def test_the_routes_timeout_is_answered_at_once():
     async def work():
-        async def silent(seen, writer):
+        async def silent(request, writer):
             await asyncio.sleep(5)
 
         async with harness.running([silent], timeout_s=0.3) as (front, _):
             loop = asyncio.get_running_loop()
-            begun_s = loop.time()
-            got = await front.ask()
-            took_s = loop.time() - begun_s
+            started_s = loop.time()
+            got = await front.request()
+            took_s = loop.time() - started_s
         assert harness.status(got) == 504
         assert 0.25 < took_s < 0.6
 
@@ -242,19 +249,20 @@
 
 
 def test_the_log_names_the_runner_that_a_request_waited_for(caplog):
-    """A call takes too long, and on-call engineers have its id alone.
+    """Guards against a timed-out request whose runner is not in the log.
 
-    The route's timeout ended the send before it came to anything, and
-    with it the line that says where the request was sent.
+    The route's timeout cancelled the send before its result was known, so
+    the log line that names the runner was never written. On-call engineers
+    have only the id of such a request.
     """
 
     async def work():
-        async def silent(seen, writer):
+        async def silent(request, writer):
             await asyncio.sleep(5)
 
         async with harness.running([silent], timeout_s=0.3) as (front, _):
             with caplog.at_level('INFO'):
-                assert harness.status(await front.ask()) == 504
+                assert harness.status(await front.request()) == 504
 
     run(work())
     (sent,) = [one for one in caplog.records if one.message == 'sent']
@@ -263,10 +271,10 @@
 
 
 def test_a_caller_that_leaves_ends_the_work():
-    """A runner's place stays taken for somebody who is gone."""
+    """Guards against a runner slot that stays in use for a gone caller."""
 
     async def work():
-        async def slow(seen, writer):
+        async def slow(request, writer):
             await asyncio.sleep(5)
 
         async with harness.running([slow]) as (front, runners):
@@ -275,17 +283,17 @@
                 b'GET /a/x HTTP/1.1\r\nHost: h.example\r\n'
                 b'Request-Id: q1\r\n\r\n'
             )
-            while not runners[0].seen:
+            while not runners[0].requests:
                 await asyncio.sleep(0.01)
             writer.close()
             await asyncio.sleep(0.3)
-            assert runners[0].seen[0].closed
+            assert runners[0].requests[0].closed
             assert not front.forwarder.active
 
     run(work())
 
 
-def test_a_runner_that_cannot_be_reached_is_passed_over():
+def test_an_unreachable_runner_is_skipped():
     async def work():
         async with harness.running([GOOD, GOOD, GOOD], kind=ONCE) as (
             front,
@@ -294,25 +302,25 @@
             await runners[0].stop()
             await runners[1].stop()
             for _ in range(4):
-                got = await front.ask(method='POST', body=b'x')
+                got = await front.request(method='POST', body=b'x')
                 assert harness.status(got) == 200
 
     run(work())
 
 
-def test_what_has_no_route_is_not_found():
+def test_a_request_without_a_route_is_not_found():
     async def work():
         async with harness.running([GOOD]) as (front, _):
-            assert harness.status(await front.ask('/other/')) == 404
+            assert harness.status(await front.request('/other/')) == 404
 
     run(work())
 
 
-def test_without_routes_callers_are_told_to_come_back():
+def test_without_routes_callers_get_a_retry_time():
     async def work():
         async with harness.running([GOOD]) as (front, _):
             front.view.plan = None
-            got = await front.ask()
+            got = await front.request()
         assert harness.status(got) == 503
         assert b'Retry-After: 1.5' in got
 
@@ -338,22 +346,22 @@
             async with asyncio.timeout(2):
                 got = await reader.read()
             assert not got or harness.status(got) == 400
-            assert not runners[0].seen
-            again = await front.ask()
+            assert not runners[0].requests
+            again = await front.request()
             assert harness.status(again) == 200
 
     run(work())
 
 
-def test_a_body_beyond_the_limit_is_refused_and_hurts_nobody():
+def test_a_body_beyond_the_limit_is_refused_without_side_effects():
     async def work():
         async with harness.running([GOOD]) as (front, runners):
             limits = caller_limits.CallerLimits(max_body_bytes=100)
             front.front.apply_limits(limits)
-            got = await front.ask(method='POST', body=b'x' * 200)
+            got = await front.request(method='POST', body=b'x' * 200)
             assert not got or harness.status(got) in (400, 413)
-            assert not runners[0].seen
-            got = await front.ask(method='POST', body=b'x' * 100)
+            assert not runners[0].requests
+            got = await front.request(method='POST', body=b'x' * 100)
             assert harness.status(got) == 200
 
     run(work())
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What one host does about requests under which runners crash."""
+"""Tests of how one host handles requests that crash runners."""
 
 import asyncio
 
@@ -11,15 +11,15 @@
 from tests.routing import builders
 
 
-class Control:
-    """Answers for the control hosts as the test says; None is silence."""
+class FakeControl:
+    """Responds for the control hosts as the test defines."""
 
     def __init__(self, trial=None):
         self.trial = trial
         self.reachable = True
-        # Calls that were answered, and all of them.
+        # ``calls`` holds the answered calls, ``call_count`` counts all.
         self.calls = []
-        self.asked = 0
+        self.call_count = 0
 
     def client(self):
         client = quarantine_client.QuarantineClient(http=None, urls=list)
@@ -27,7 +27,7 @@
         return client
 
     async def _call(self, path, body):
-        self.asked += 1
+        self.call_count += 1
         if not self.reachable:
             return None
         self.calls.append((path, body))
@@ -73,12 +73,12 @@
 
 
 def test_a_host_that_reaches_no_control_host_keeps_to_its_own_count():
-    """Cut off, it would send the request to each runner that is back."""
+    """Otherwise it would send the request to each restarted runner."""
 
     async def work():
-        control = Control()
-        control.reachable = False
-        client = control.client()
+        fake_control = FakeControl()
+        fake_control.reachable = False
+        client = fake_control.client()
         _crash(client, count=2)
         assert await _may_send(client)
         _crash(client, count=1, first=2)
@@ -90,33 +90,33 @@
     asyncio.run(work())
 
 
-def test_what_could_not_be_told_is_told_again(monkeypatch):
+def test_a_failed_report_is_repeated(monkeypatch):
     monkeypatch.setattr(quarantine_client, 'RETRY_DELAY_S', 0.01)
 
     async def work():
-        control = Control(trial=WAIT)
-        control.reachable = False
-        client = control.client()
+        fake_control = FakeControl(trial=WAIT)
+        fake_control.reachable = False
+        client = fake_control.client()
         _crash(client, count=3)
         await asyncio.sleep(0.05)
-        assert control.asked
-        control.reachable = True
+        assert fake_control.call_count
+        fake_control.reachable = True
         await asyncio.sleep(0.1)
-        told = control.called('/crashes')[-1]['crashes']
-        assert [one['runner_id'] for one in told] == ['r0', 'r1', 'r2']
+        reported = fake_control.called('/crashes')[-1]['crashes']
+        assert [one['runner_id'] for one in reported] == ['r0', 'r1', 'r2']
         fingerprint = _request().fingerprint
-        assert all(one['suspects'] == {fingerprint: False} for one in told)
-        count = control.asked
+        assert all(one['suspects'] == {fingerprint: False} for one in reported)
+        count = fake_control.call_count
         await asyncio.sleep(0.1)
-        assert control.asked == count
+        assert fake_control.call_count == count
 
     asyncio.run(work())
 
 
 def test_a_crash_at_another_host_stops_the_request_here():
     async def work():
-        control = Control(trial=WAIT)
-        client = control.client()
+        fake_control = FakeControl(trial=WAIT)
+        client = fake_control.client()
         client.update([_request().fingerprint])
         assert not await _may_send(client)
         assert await _may_send(client, b'another')
@@ -124,12 +124,12 @@
     asyncio.run(work())
 
 
-def test_a_refused_request_is_asked_for_once_while_it_has_to_wait():
-    """A flood of repeats must not become a flood of calls."""
+def test_a_refused_request_causes_one_call_until_its_retry_time():
+    """Many retries of a request must not cause as many calls."""
 
     async def work():
-        control = Control(trial=WAIT)
-        client = control.client()
+        fake_control = FakeControl(trial=WAIT)
+        client = fake_control.client()
         client.update([_request().fingerprint])
         for _ in range(50):
             gate = quarantine_gate.QuarantineGate(
@@ -138,15 +138,15 @@
             assert not await gate.may_send()
             assert gate.is_closed()
             assert 0.0 < gate.retry_after_s <= 2.0
-        assert len(control.called('/trial')) == 1
+        assert len(fake_control.called('/trial')) == 1
 
     asyncio.run(work())
 
 
 def test_a_trial_is_one_send():
     async def work():
-        control = Control(trial=GRANTED)
-        client = control.client()
+        fake_control = FakeControl(trial=GRANTED)
+        client = fake_control.client()
         client.update([_request().fingerprint])
         assert await _may_send(client)
         assert not await _may_send(client)
@@ -156,14 +156,14 @@
 
 def test_a_trial_that_ends_well_clears_the_request():
     async def work():
-        control = Control(trial=GRANTED)
-        client = control.client()
+        fake_control = FakeControl(trial=GRANTED)
+        client = fake_control.client()
         fingerprint = _request().fingerprint
         client.update([fingerprint])
         assert await _may_send(client)
         client.note_answered(_request())
         await asyncio.sleep(0.05)
-        assert control.called('/clear') == [{'fingerprint': fingerprint}]
+        assert fake_control.called('/clear') == [{'fingerprint': fingerprint}]
         client.update([])
         assert await _may_send(client)
         assert await _may_send(client)
@@ -171,12 +171,12 @@
     asyncio.run(work())
 
 
-def test_the_fleets_word_goes_before_the_own_count():
-    """Others saw who else was at the runners that crashed."""
+def test_the_decision_of_the_fleet_overrides_the_local_count():
+    """Other hosts know the other requests at the crashed runners."""
 
     async def work():
-        control = Control(trial=RELEASED)
-        client = control.client()
+        fake_control = FakeControl(trial=RELEASED)
+        client = fake_control.client()
         _crash(client, count=3)
         await asyncio.sleep(0.05)
         assert await _may_send(client)
@@ -186,8 +186,8 @@
 
 
 def test_answers_cost_nothing_while_nothing_crashed(monkeypatch):
-    """No body is hashed on an ordinary day."""
-    client = Control().client()
+    """Without any crash, no request body is hashed."""
+    client = FakeControl().client()
 
     def hashes(request):
         pytest.fail('hashed')
@@ -199,11 +199,11 @@
     client.note_answered(_request())
 
 
-def test_crashes_that_cannot_be_told_take_a_bounded_place():
+def test_unreported_crashes_take_bounded_memory():
     async def work():
-        control = Control()
-        control.reachable = False
-        client = control.client()
+        fake_control = FakeControl()
+        fake_control.reachable = False
+        client = fake_control.client()
         for number in range(3 * quarantine_client.MAX_UNREPORTED):
             _crash(client, b'%d' % number, count=1, first=number)
         assert len(client._unreported) == quarantine_client.MAX_UNREPORTED
--- a/tests/forwarding/test_routes_loader.py
+++ b/tests/forwarding/test_routes_loader.py
@@ -1,4 +1,4 @@
-"""What an entry host does with updates that it cannot use."""
+"""Tests of updates of the routes that an entry host cannot use."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 
 class ControlHost:
-    """Stands in for the client of one control host."""
+    """Replaces the HTTP client and responds for one control host."""
 
     def __init__(self, newest, *, status=200):
         self.text = routes_update_body.encode(
@@ -71,8 +71,8 @@
     )
 
 
-def test_an_update_that_leads_elsewhere_has_the_whole_fetched():
-    """A host must never work by a document that nobody acknowledged."""
+def test_an_update_with_a_wrong_digest_has_the_whole_fetched():
+    """A host must never use a configuration that was not acknowledged."""
 
     async def work():
         newest = copy(2, large_routes.text(2, 5))
@@ -92,11 +92,11 @@
 
 
 @pytest.mark.parametrize('inline', [True, False])
-def test_what_cannot_be_read_is_not_fetched_over_and_over(inline):
-    """A document of another release fills the link of every host.
+def test_an_unusable_configuration_is_fetched_with_growing_delays(inline):
+    """Guards against links filled by a configuration of another release.
 
-    No fetch of it helps. It is tried at longer and longer pauses, and
-    the next version is taken as usual.
+    Fetching it again never helps, so the delay between attempts grows.
+    The next version is loaded as usual.
     """
 
     async def work():
@@ -119,8 +119,8 @@
     asyncio.run(work())
 
 
-def test_a_version_that_nobody_has_any_more_is_heard_of_again():
-    """The host must not wait for it for good."""
+def test_a_version_that_no_host_holds_is_given_up():
+    """The host must not wait for this version forever."""
 
     async def work():
         newest = copy(2, large_routes.text(2, 5))
--- a/tests/forwarding/test_scheduler_client.py
+++ b/tests/forwarding/test_scheduler_client.py
@@ -1,4 +1,4 @@
-"""Asking the leading control host for places."""
+"""Tests of placement requests to the leading control host."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 
 class Leader:
-    """Stands in for the client; gives every place that is asked for."""
+    """Replaces the HTTP client and grants every placement request."""
 
     def __init__(self):
         self.calls = []
@@ -31,42 +31,47 @@
         )
 
 
-def own_place(name):
+def local_placement(name):
     return placement.Placement(request_id=name, decode_id='d', prefill_id='p')
 
 
-def test_what_a_host_gave_itself_is_told_once_the_leader_answers_again():
-    """A host is cut off from control and decides for itself.
+def test_local_placements_are_reported_once_the_leader_responds_again():
+    """Guards against a leader that does not count local placements.
 
-    When it is back, its streams run on for seconds. The leader counted
-    without them and filled the same runner: 15 streams refused within
-    3 s, with their prompts read.
+    A host that cannot reach the leader places streams locally. When the
+    leader is reachable again, these streams run on for seconds. The leader
+    did not count them and filled the same runner: 15 streams were refused
+    within 3 s after their prompts had been prefilled.
     """
 
     async def work():
         leader = Leader()
         client = scheduler_client.SchedulerClient(http=leader)
-        client.note_local_placement(own_place('own'), builders.make_ask('own'))
+        client.note_local_placement(
+            local_placement('own'), builders.make_ask('own')
+        )
         client.follow('http://127.0.0.1:1')
         await asyncio.sleep(0)
         leader.calls.clear()
-        client.note_local_placement(own_place('two'), builders.make_ask('two'))
+        client.note_local_placement(
+            local_placement('two'), builders.make_ask('two')
+        )
         await client.request_placement(builders.make_ask('asked'))
         await asyncio.sleep(0)
-        told = [body for kind, body in leader.calls if kind == 'held']
+        reports = [body for kind, body in leader.calls if kind == 'held']
         await client.request_placement(builders.make_ask('more'))
         await asyncio.sleep(0)
-        again = [body for kind, body in leader.calls if kind == 'held']
-        return told, again
+        reports_later = [body for kind, body in leader.calls if kind == 'held']
+        return reports, reports_later
 
-    told, again = asyncio.run(work())
-    names = [one['asked']['request_id'] for one in told[0]['held']]
+    reports, reports_later = asyncio.run(work())
+    names = [one['asked']['request_id'] for one in reports[0]['held']]
     assert sorted(names)[:2] == ['asked', 'own']
     assert 'two' in names
-    assert len(again) == len(told) == 1
+    assert len(reports_later) == len(reports) == 1
 
 
-def test_a_first_event_is_told_of_streams_that_are_held():
+def test_first_events_are_reported_for_held_placements_only():
     async def work():
         leader = Leader()
         client = scheduler_client.SchedulerClient(http=leader)
@@ -81,16 +86,16 @@
     assert place_bodies.FirstEventBody(**body).took_s == 0.2
 
 
-def test_each_ask_for_a_place_has_a_number_of_its_own():
+def test_attempt_numbers_are_unique():
     client = scheduler_client.SchedulerClient(http=Leader())
     assert client.next_attempt() != client.next_attempt()
 
 
-def test_a_new_leader_that_missed_what_is_held_is_told_again():
-    """A new leader fills runners beyond their memory.
+def test_a_failed_report_of_held_placements_is_repeated():
+    """Guards against a new leader that overfills the memory of runners.
 
-    Entry hosts tell it which streams they hold, in one call. Where that
-    call failed, nobody told it again, and no log line said so.
+    Entry hosts report their held placements to a new leader in one call.
+    When that call failed, it was neither repeated nor logged.
     """
 
     class LateLeader(Leader):
@@ -106,14 +111,14 @@
     async def work():
         leader = LateLeader()
         client = scheduler_client.SchedulerClient(http=leader)
-        client.note_placement(own_place('own'), builders.make_ask('own'))
+        client.note_placement(local_placement('own'), builders.make_ask('own'))
         client.follow('http://127.0.0.1:1')
         await asyncio.sleep(0)
         await client.request_placement(builders.make_ask('asked'))
         await asyncio.sleep(0)
         return [body for kind, body in leader.calls if kind == 'held']
 
-    told = asyncio.run(work())
-    assert len(told) == 2
-    names = [one['asked']['request_id'] for one in told[1]['held']]
+    reports = asyncio.run(work())
+    assert len(reports) == 2
+    names = [one['asked']['request_id'] for one in reports[1]['held']]
     assert 'own' in names
--- a/tests/forwarding/test_starting.py
+++ b/tests/forwarding/test_starting.py
@@ -1,4 +1,4 @@
-"""Requests that reach a host before it knows its routes."""
+"""Tests of requests that reach a host before it has routes."""
 
 import asyncio
 
@@ -6,26 +6,27 @@
 from tests.forwarding import scripted_runner
 
 
-async def _answer(seen, writer):
+async def _answer(request, writer):
     writer.write(scripted_runner.response(b'whole answer'))
     await writer.drain()
 
 
 def test_a_request_waits_for_the_first_configuration():
-    """All hosts were killed, and the first to be back takes a caller.
+    """Guards against refusals by hosts that have just started.
 
-    Its caller found nobody before and comes back only once: refused for
-    want of a configuration that was there 0.3 s later, it was lost.
+    All hosts were killed, and a caller whose first attempt failed retries
+    once. The host that restarted first refused this retry, although its
+    configuration arrived 0.3 s later, so the request was lost.
     """
 
     async def work():
         async with harness.running([_answer]) as (host, _):
             plan, host.view.plan = host.view.plan, None
-            asked = asyncio.create_task(host.ask())
+            response_task = asyncio.create_task(host.request())
             await asyncio.sleep(0.3)
-            assert not asked.done()
+            assert not response_task.done()
             host.view.plan = plan
-            assert harness.status(await asked) == 200
+            assert harness.status(await response_task) == 200
 
     asyncio.run(work())
 
@@ -34,6 +35,6 @@
     async def work():
         async with harness.running([_answer]) as (host, _):
             host.view.plan = None
-            assert harness.status(await host.ask()) == 503
+            assert harness.status(await host.request()) == 503
 
     asyncio.run(work())
--- a/tests/forwarding/test_stopping.py
+++ b/tests/forwarding/test_stopping.py
@@ -1,4 +1,4 @@
-"""A host that is told to stop cuts nobody off."""
+"""Tests that a stopping host aborts no request."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 GRACE_S = 6.0
 
 
-async def _endless(seen, writer):
+async def _endless(request, writer):
     writer.write(scripted_runner.STREAM_HEAD)
     for number in range(10_000):
         chunk = scripted_runner.chunk(scripted_runner.event(number))
@@ -24,7 +24,7 @@
         await asyncio.sleep(0.05)
 
 
-async def _slow(seen, writer):
+async def _slow(request, writer):
     await asyncio.sleep(0.3)
     writer.write(scripted_runner.response(b'whole answer'))
     await writer.drain()
@@ -63,20 +63,23 @@
             builders.make_service('model', builders.ENGINE),
         ),
     )
-    one = builders.make_runner('p', None, port=plain.port)
-    one = dataclasses.replace(one, service='plain')
-    two = builders.make_runner('d', port=decode.port)
-    server.view._by_service = {'plain': [one], 'model': [two]}
-    server.view._runners = {'p': one, 'd': two}
+    plain_runner = builders.make_runner('p', None, port=plain.port)
+    plain_runner = dataclasses.replace(plain_runner, service='plain')
+    decode_runner = builders.make_runner('d', port=decode.port)
+    server.view._by_service = {
+        'plain': [plain_runner],
+        'model': [decode_runner],
+    }
+    server.view._runners = {'p': plain_runner, 'd': decode_runner}
     server.start()
     return server
 
 
-async def _call(server, target, more=''):
+async def _call(server, target, headers=''):
     reader, writer = await asyncio.open_connection('127.0.0.1', server.port)
     writer.write(
         f'GET {target} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q\r\n'
-        f'Deadline-Ms: 9000\r\n{more}\r\n'.encode()
+        f'Deadline-Ms: 9000\r\n{headers}\r\n'.encode()
     )
     try:
         return await reader.read()
@@ -84,12 +87,13 @@
         writer.close()
 
 
-def test_calls_that_come_to_the_very_end_are_not_cut():
-    """A long stream keeps a stopping host open; calls go on coming.
+def test_calls_that_arrive_until_the_end_are_not_aborted():
+    """Guards against aborted plain calls at the end of a host.
 
-    Its zone has no other host, so the balancer still sends callers. The
-    host took each call to the last moment and then cut what ran: the
-    caller of a release could not know whether it had happened.
+    A long stream keeps a stopping host running. Its zone has no other
+    host, so the load balancer still sends calls. The host accepted calls
+    until the last moment and then aborted them, so their callers could not
+    know whether they had been executed.
     """
 
     async def work():
@@ -99,7 +103,7 @@
         stream = asyncio.create_task(
             _call(server, '/s/x', harness.STREAM_HEADERS)
         )
-        while not decode.seen:
+        while not decode.requests:
             await asyncio.sleep(0.01)
         stopping = asyncio.create_task(server.stop())
         answers = []
@@ -107,7 +111,7 @@
             try:
                 answers.append(await _call(server, '/a/x'))
             except OSError:
-                # Refused or reset before it was read: nothing ran.
+                # Refused or reset before it was read, so nothing ran.
                 await asyncio.sleep(0.05)
         await stopping
         stream.cancel()
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: the two stages, and every way in which one can break."""
+"""Tests of streams: both stages and all ways in which they can break."""
 
 import asyncio
 import json
@@ -20,8 +20,8 @@
 USAGE = harness.STREAM_HEADERS
 
 
-async def _prefill(seen, writer):
-    if seen.head.startswith('DELETE'):
+async def _prefill(request, writer):
+    if request.head.startswith('DELETE'):
         writer.write(scripted_runner.response(b''))
     else:
         body = json.dumps(
@@ -32,7 +32,7 @@
 
 
 def _stream(*numbers, ends=True, cut=b''):
-    async def script(seen, writer):
+    async def script(request, writer):
         writer.write(scripted_runner.STREAM_HEAD)
         for number in numbers:
             writer.write(chunk(event(number)))
@@ -50,7 +50,7 @@
 
 
 def _events(data):
-    """Return the numbers of the events in a raw answer."""
+    """Return the event numbers in a raw response."""
     body = data.partition(b'\r\n\r\n')[2]
     return [
         int(line[3:]) for line in body.split(b'\n') if line.startswith(b'id:')
@@ -65,17 +65,23 @@
     return asyncio.run(work)
 
 
-def test_the_prompt_is_read_apart():
+def test_a_prefill_runner_prefills_the_prompt():
     async def work():
         async with harness.running(
             [_prefill, _stream(1, 2, 3)], stages=[PREFILL, DECODE], **STREAM
         ) as (front, (prefill, decode)):
-            got = await front.ask(method='POST', body=b'prompt', more=USAGE)
-            source = decode.seen[0].header('Kv-From')
+            got = await front.request(
+                method='POST', body=b'prompt', headers=USAGE
+            )
+            source = decode.requests[0].header('Kv-From')
             assert source == f'127.0.0.1:{prefill.port}/h1'
-            assert prefill.seen[0].header('Stage') == 'prefill'
-            assert decode.seen[0].header('Stage') is None
-            assert prefill.seen[0].body == decode.seen[0].body == b'prompt'
+            assert prefill.requests[0].header('Stage') == 'prefill'
+            assert decode.requests[0].header('Stage') is None
+            assert (
+                prefill.requests[0].body
+                == decode.requests[0].body
+                == b'prompt'
+            )
         assert _events(got) == [1, 2, 3]
         assert _complete(got)
         assert b'Runner-Stamp: s.1' in got
@@ -83,88 +89,93 @@
     run(work())
 
 
-# Guards against a leader that never hears that a decode runner has read a
-# prompt, and gives it none for seconds; and against calls for nothing.
+# Guards against a leader that gets no report of a decode runner's own
+# prefill and then gives this runner no other prompt for seconds. Also
+# guards against unnecessary reports.
 @pytest.mark.parametrize(
-    ('scripts', 'stages', 'told'),
+    ('scripts', 'stages', 'report_count'),
     [
         ([_stream(1, 2, 3)], [DECODE], 1),
         ([_prefill, _stream(1, 2, 3)], [PREFILL, DECODE], 0),
     ],
 )
-def test_the_leader_hears_when_a_decode_runner_has_read(scripts, stages, told):
-    heard = []
+def test_the_prefill_of_a_decode_runner_is_reported(
+    scripts, stages, report_count
+):
+    reports = []
 
     async def work():
         async with harness.running(scripts, stages=stages, **STREAM) as (
             front,
             _,
         ):
-            front.scheduler.note_first_event = lambda *args: heard.append(args)
-            await front.ask(method='POST', body=b'prompt', more=USAGE)
+            front.scheduler.note_first_event = lambda *args: reports.append(
+                args
+            )
+            await front.request(method='POST', body=b'prompt', headers=USAGE)
 
     run(work())
-    assert len(heard) == told
-    assert all(0 < took_s < 1 for _, _, _, took_s in heard)
+    assert len(reports) == report_count
+    assert all(0 < took_s < 1 for _, _, _, took_s in reports)
 
 
-def test_what_is_the_systems_to_set_is_dropped_from_callers():
+def test_system_headers_of_callers_are_dropped():
     async def work():
         async with harness.running(
             [_stream(1)], stages=[DECODE], **STREAM
         ) as (front, (decode,)):
-            await front.ask(
-                more=USAGE + 'Stage: prefill\r\nKv-From: 1.2.3.4:5/x\r\n'
+            await front.request(
+                headers=USAGE + 'Stage: prefill\r\nKv-From: 1.2.3.4:5/x\r\n'
                 'Hold: h\r\nPin-Ms: 4000\r\nKv-Backup: 1.2.3.4:5\r\n'
             )
             for name in ('Stage', 'Kv-From', 'Hold', 'Pin-Ms', 'Kv-Backup'):
-                assert decode.seen[0].header(name) is None
+                assert decode.requests[0].header(name) is None
 
     run(work())
 
 
-def test_a_lapsed_handle_has_the_writer_read_for_itself():
+def test_a_stream_survives_an_expired_handle():
     async def work():
-        async def lapsed(seen, writer):
-            if seen.header('Kv-From'):
+        async def expired_handle(request, writer):
+            if request.header('Kv-From'):
                 writer.write(scripted_runner.response(b'', 503, Not_Run='1'))
                 await writer.drain()
                 return
-            await _stream(1, 2)(seen, writer)
+            await _stream(1, 2)(request, writer)
 
         async with harness.running(
-            [_prefill, lapsed], stages=[PREFILL, DECODE], **RESUMABLE
+            [_prefill, expired_handle], stages=[PREFILL, DECODE], **RESUMABLE
         ) as (front, _):
-            got = await front.ask(more=USAGE)
+            got = await front.request(headers=USAGE)
         assert _events(got) == [1, 2]
 
     run(work())
 
 
-def test_a_broken_stream_goes_on_elsewhere_without_a_seam():
+def test_a_broken_stream_resumes_at_another_runner_between_events():
     """A runner crashes in the middle of an event.
 
-    The caller has events 1 and 2 and a part of 3. Passed on, that part
-    would run into what the next runner sends. Only whole events pass,
-    and the next runner is asked for those after 2.
+    It has sent events 1 and 2 and a part of 3. If that part were relayed,
+    it would be mixed with the events of the next runner. Only complete
+    events are relayed, and the next runner resumes after event 2.
     """
 
     async def work():
-        async def first_or_rest(seen, writer):
-            after = seen.header('Last-Event-Id')
+        async def first_or_rest(request, writer):
+            after = request.header('Last-Event-Id')
             if after is None:
                 script = _stream(1, 2, ends=False, cut=b'id: 3\nda')
             else:
                 assert after == '2'
                 script = _stream(3, 4)
-            await script(seen, writer)
+            await script(request, writer)
 
         async with harness.running(
             [first_or_rest, first_or_rest],
             stages=[DECODE, DECODE],
             **RESUMABLE,
         ) as (front, _):
-            got = await front.ask(more=USAGE)
+            got = await front.request(headers=USAGE)
         assert _events(got) == [1, 2, 3, 4]
         assert _complete(got)
 
@@ -176,21 +187,21 @@
         async with harness.running(
             [_stream(1, 2, ends=False)] * 2, stages=[DECODE] * 2, **STREAM
         ) as (front, runners):
-            got = await front.ask(more=USAGE)
-            assert sum(len(one.seen) for one in runners) == 1
+            got = await front.request(headers=USAGE)
+            assert sum(len(one.requests) for one in runners) == 1
         assert _events(got) == [1, 2]
         assert not _complete(got)
 
     run(work())
 
 
-def test_a_silent_stream_goes_on_elsewhere():
-    """A link goes silent: no end, no error, no event."""
+def test_a_silent_stream_resumes_at_another_runner():
+    """A connection goes silent, without an end, an error or an event."""
 
     async def work():
-        async def silent_once(seen, writer):
-            if seen.header('Last-Event-Id') == '1':
-                await _stream(2, 3)(seen, writer)
+        async def silent_once(request, writer):
+            if request.header('Last-Event-Id') == '1':
+                await _stream(2, 3)(request, writer)
                 return
             writer.write(scripted_runner.STREAM_HEAD + chunk(event(1)))
             await writer.drain()
@@ -199,7 +210,7 @@
         async with harness.running(
             [silent_once] * 2, stages=[DECODE] * 2, **RESUMABLE
         ) as (front, _):
-            got = await front.ask(more=USAGE)
+            got = await front.request(headers=USAGE)
         assert _events(got) == [1, 2, 3]
         assert _complete(got)
 
@@ -207,10 +218,10 @@
 
 
 def test_a_caller_that_leaves_frees_both_runners():
-    """KV memory stays held for a verdict whose caller has gone."""
+    """Guards against KV memory that stays in use for a gone caller."""
 
     async def work():
-        async def endless(seen, writer):
+        async def endless(request, writer):
             writer.write(scripted_runner.STREAM_HEAD)
             for number in range(1000):
                 writer.write(chunk(event(number)))
@@ -230,72 +241,74 @@
             await reader.readuntil(b'id: 3\n')
             writer.close()
             await asyncio.sleep(0.3)
-            assert decode.seen[0].closed
+            assert decode.requests[0].closed
             assert not front.forwarder.active
             assert front.view.load('r0').tokens == 0
 
     run(work())
 
 
-def test_a_caller_that_leaves_while_the_prompt_is_read_frees_it():
+def test_a_refused_stream_frees_its_kv_cache():
     async def work():
-        async def slow_prefill(seen, writer):
-            if not seen.head.startswith('DELETE'):
+        async def slow_prefill(request, writer):
+            if not request.head.startswith('DELETE'):
                 await asyncio.sleep(0.2)
-            await _prefill(seen, writer)
+            await _prefill(request, writer)
 
-        async def refuses(seen, writer):
+        async def refuses(request, writer):
             writer.write(scripted_runner.response(b'', 503, Not_Run='1'))
             await writer.drain()
 
         async with harness.running(
             [slow_prefill, refuses], stages=[PREFILL, DECODE], **STREAM
         ) as (front, (prefill, _)):
-            got = await front.ask(more=USAGE)
+            got = await front.request(headers=USAGE)
             await asyncio.sleep(0.2)
-            calls = [one.head.split(' ')[0] for one in prefill.seen]
+            calls = [one.head.split(' ')[0] for one in prefill.requests]
             assert calls == ['GET', 'DELETE']
-            assert prefill.seen[1].target == '/api/kv-handle/h1'
+            assert prefill.requests[1].target == '/api/kv-handle/h1'
         assert harness.status(got) == 503
 
     run(work())
 
 
-def test_a_dark_reader_costs_a_moment_and_is_not_left_to_the_writer():
-    """A prefill runner takes a request and never answers.
+def test_an_unresponsive_prefill_runner_leads_to_a_new_placement():
+    """A prefill runner accepts a request and never responds.
 
-    Waited for, the caller leaves without an event. Passed by, the
-    decode runner reads the prompt itself, unplanned, and all its other
-    streams pause. Another place is asked for instead.
+    Waiting for it would make the caller leave without an event. Having
+    the decode runner prefill the prompt unplanned would delay all its
+    other streams. Instead, the stream requests another placement.
     """
 
     async def work():
-        async def dark(seen, writer):
+        async def unresponsive(request, writer):
             await asyncio.sleep(8)
 
         async with harness.running(
-            [dark, _prefill, _stream(1, 2)],
+            [unresponsive, _prefill, _stream(1, 2)],
             stages=[PREFILL, PREFILL, DECODE],
             **RESUMABLE,
         ) as (front, (_, _, decode)):
-            # The one that is dark is asked first, as it has fewest tokens.
+            # The unresponsive runner has the fewest tokens, so it is
+            # chosen first.
             front.view.load('r1').tokens = 10
             loop = asyncio.get_running_loop()
-            begun_s = loop.time()
-            got = await front.ask(more=USAGE)
-            assert loop.time() - begun_s < 2.0
-            assert decode.seen[0].header('Kv-From').endswith('/h1')
+            started_s = loop.time()
+            got = await front.request(headers=USAGE)
+            assert loop.time() - started_s < 2.0
+            assert decode.requests[0].header('Kv-From').endswith('/h1')
         assert _events(got) == [1, 2]
 
     run(work())
 
 
-def test_no_prompt_is_read_for_a_writer_that_is_dark():
-    """A decode runner dies; its last heartbeat still says ready.
+def test_no_prompt_is_prefilled_for_an_unresponsive_decode_runner():
+    """Guards against wasted prefills for a dead decode runner.
 
-    A place is given at it, the prompt is read apart, and only then does
-    the connect fail: the reading is thrown away, and the other decode
-    runner reads the prompt itself, between the tokens of its streams.
+    A decode runner dies while its last heartbeat still says ready. A
+    stream was placed there and its prompt was prefilled before the connect
+    failed. The prefill was wasted, and the other decode runner prefilled
+    the prompt itself between the tokens of its streams.
     """
 
     async def work():
@@ -303,52 +316,53 @@
             [_prefill, _stream(1), _stream(1, 2)],
             stages=[PREFILL, DECODE, DECODE],
             **RESUMABLE,
-        ) as (front, (prefill, dead, decode)):
-            await dead.stop()
-            # The one that is dead is chosen first: it has fewest tokens.
+        ) as (front, (prefill, dead_decode, decode)):
+            await dead_decode.stop()
+            # The dead runner has the fewest tokens, so it is chosen first.
             front.view.load('r2').tokens = 10
-            got = await front.ask(more=USAGE)
-            reads = [one for one in prefill.seen if one.header('Stage')]
-            assert len(reads) == 1
-            assert decode.seen[0].header('Kv-From').endswith('/h1')
+            got = await front.request(headers=USAGE)
+            prefills = [one for one in prefill.requests if one.header('Stage')]
+            assert len(prefills) == 1
+            assert decode.requests[0].header('Kv-From').endswith('/h1')
         assert _events(got) == [1, 2]
         assert _complete(got)
 
     run(work())
 
 
-def test_a_writer_that_closes_while_the_prompt_is_read_is_sent_to_anew():
-    """The connection made ahead is closed before anything is sent on it.
+def test_a_connection_that_closes_during_the_prefill_is_replaced():
+    """The early connection to the decode runner closes before its use.
 
-    Nothing ran. Taken for a request that may have run, a stream that
-    may not be sent twice would fail.
+    Nothing has run. If the request counted as possibly run, a stream that
+    must not be sent twice would fail.
     """
 
     async def work():
-        async def slowly(seen, writer):
+        async def slow_prefill(request, writer):
             await asyncio.sleep(0.2)
-            await _prefill(seen, writer)
+            await _prefill(request, writer)
 
         async with harness.running(
-            [slowly, _stream(1, 2)],
+            [slow_prefill, _stream(1, 2)],
             stages=[PREFILL, DECODE],
             **STREAM,
         ) as (front, (prefill, decode)):
             decode.close_first = 1
-            got = await front.ask(more=USAGE)
-            assert decode.seen[0].header('Kv-From').endswith('/h1')
+            got = await front.request(headers=USAGE)
+            assert decode.requests[0].header('Kv-From').endswith('/h1')
         assert _events(got) == [1, 2]
 
     run(work())
 
 
-def test_without_a_leader_room_is_waited_for_within_the_target():
-    """The leading control host dies; the next one leads a second later.
+def test_without_a_leader_a_stream_waits_within_its_target():
+    """Guards against hasty refusals while there is no leader.
 
-    Meanwhile each host decides by its own streams, and one that has its
-    part of the runners in use sees no room. Its callers were told at
-    once to come back, and came back too late for their targets; room
-    came 0.2 s after they had been refused.
+    The leading control host dies, and the next one leads a second later.
+    Meanwhile each host places streams locally, and a host that uses its
+    full share of the runners finds no free capacity. It refused its
+    callers at once, and their retries came too late for their targets,
+    although capacity became free 0.2 s after the refusal.
     """
 
     async def work():
@@ -360,15 +374,15 @@
         ) as (front, _):
             load = front.view.load('r1')
             load.requests = 100
-            asked = asyncio.create_task(front.ask(more=USAGE))
+            response_task = asyncio.create_task(front.request(headers=USAGE))
             await asyncio.sleep(0.2)
             load.requests = 0
-            assert _events(await asked) == [1, 2]
+            assert _events(await response_task) == [1, 2]
 
     run(work())
 
 
-def test_without_a_leader_nobody_waits_beyond_the_target():
+def test_without_a_leader_no_stream_waits_beyond_its_target():
     async def work():
         async with harness.running(
             [_prefill, _stream(1, 2)],
@@ -378,19 +392,19 @@
         ) as (front, _):
             front.view.load('r1').requests = 100
             loop = asyncio.get_running_loop()
-            begun_s = loop.time()
-            got = await front.ask(more=USAGE)
+            started_s = loop.time()
+            got = await front.request(headers=USAGE)
             assert harness.status(got) == 503
             assert b'Retry-After' in got
-            assert 0.2 < loop.time() - begun_s < 0.7
+            assert 0.2 < loop.time() - started_s < 0.7
 
     run(work())
 
 
-def _dies_after(server, *numbers):
-    """Stream some events, then end the runner with all its sockets."""
+def _crashes_after(server, *numbers):
+    """Send some events, then stop the runner with all its sockets."""
 
-    async def script(seen, writer):
+    async def script(request, writer):
         writer.write(scripted_runner.STREAM_HEAD)
         for number in numbers:
             writer.write(chunk(event(number)))
@@ -401,60 +415,63 @@
     return script
 
 
-# Guards against a stream that is sent after a leader kept it waiting, for
-# a caller who is about to leave.
+# Guards against a stream that is sent for a caller that is about to leave,
+# after a long wait for a leader.
 def test_a_stream_that_waited_too_long_for_a_leader_is_not_sent():
     async def work():
         async with harness.running(
             [_stream(1)], stages=[DECODE], silence_s=1.5, **STREAM
         ) as (front, (decode,)):
 
-            async def ask(one):
+            async def time_out(placement_request):
                 await asyncio.sleep(0.4)
                 return scheduler_client.SchedulerUnavailable(reason='timeout')
 
-            front.scheduler.request_placement = ask
-            got = await front.ask(more=USAGE)
+            front.scheduler.request_placement = time_out
+            got = await front.request(headers=USAGE)
             assert harness.status(got) == 503
-            assert not decode.seen
+            assert not decode.requests
 
     run(work())
 
 
-def test_a_stream_of_a_dead_runner_has_its_prompt_read_apart_again():
-    """A decode runner crashes with twelve streams in mid-answer.
+def test_a_stream_of_a_dead_runner_uses_a_prefill_runner_again():
+    """Guards against streams lost after a crash of a decode runner.
 
-    Read by the runner that is left, between the tokens of its own
-    streams, twelve prompts hold all of those up for seconds; most of
-    the twelve were lost instead. A prefill runner reads them in moments.
+    A decode runner crashes with twelve streams in mid-answer. If the
+    remaining decode runner prefilled their prompts between the tokens of
+    its own streams, all of those would be delayed for seconds. Most of the
+    twelve streams were lost instead. A prefill runner processes twelve
+    prompts quickly.
     """
 
     async def work():
-        dying = []
+        crashing = []
         async with harness.running(
-            [_prefill, _dies_after(dying, 1, 2), _stream(3, 4)],
+            [_prefill, _crashes_after(crashing, 1, 2), _stream(3, 4)],
             stages=[PREFILL, DECODE, DECODE],
             **RESUMABLE,
         ) as (front, (prefill, first, second)):
-            dying.append(first)
-            # The one that dies is chosen first.
+            crashing.append(first)
+            # Makes the crashing runner the first choice.
             front.view.load('r2').tokens = 10
-            got = await front.ask(more=USAGE)
-            reads = [one for one in prefill.seen if one.header('Stage')]
-            assert len(reads) == 2
-            assert second.seen[0].header('Kv-From').endswith('/h1')
-            assert second.seen[0].header('Last-Event-Id') == '2'
+            got = await front.request(headers=USAGE)
+            prefills = [one for one in prefill.requests if one.header('Stage')]
+            assert len(prefills) == 2
+            assert second.requests[0].header('Kv-From').endswith('/h1')
+            assert second.requests[0].header('Last-Event-Id') == '2'
         assert _events(got) == [1, 2, 3, 4]
         assert _complete(got)
 
     run(work())
 
 
-def test_a_stream_that_a_live_runner_broke_off_is_not_read_apart_again():
-    """A second reading counts as a send, like the run that broke off.
+def test_a_stream_that_a_live_runner_broke_off_gets_no_second_prefill():
+    """A second prefill counts as a send, like the send that broke off.
 
-    With the next run that makes three, one more than the route allows;
-    only runners that are gone do not count.
+    Together with the next send to a decode runner that makes three, one
+    more than the route allows. Only sends to unreachable runners do not
+    count.
     """
 
     async def work():
@@ -464,44 +481,45 @@
             **RESUMABLE,
         ) as (front, (prefill, _, second)):
             front.view.load('r2').tokens = 10
-            got = await front.ask(more=USAGE)
-            reads = [one for one in prefill.seen if one.header('Stage')]
-            assert len(reads) == 1
-            assert second.seen[0].header('Kv-From') is None
+            got = await front.request(headers=USAGE)
+            prefills = [one for one in prefill.requests if one.header('Stage')]
+            assert len(prefills) == 1
+            assert second.requests[0].header('Kv-From') is None
         assert _events(got) == [1, 2, 3, 4]
 
     run(work())
 
 
-def test_a_caller_that_comes_back_to_go_on_has_its_prompt_read_apart():
-    """The first reading of each attempt of a caller is free."""
+def test_the_prompt_of_a_resuming_caller_goes_to_a_prefill_runner():
+    """The first prefill of each attempt of a caller is free."""
 
     async def work():
         async with harness.running(
             [_prefill, _stream(3, 4)], stages=[PREFILL, DECODE], **RESUMABLE
         ) as (front, (prefill, decode)):
-            more = f'{USAGE}Last-Event-Id: 2\r\n'
-            got = await front.ask(more=more)
-            assert decode.seen[0].header('Kv-From').endswith('/h1')
-            assert decode.seen[0].header('Last-Event-Id') == '2'
+            headers = f'{USAGE}Last-Event-Id: 2\r\n'
+            got = await front.request(headers=headers)
+            assert decode.requests[0].header('Kv-From').endswith('/h1')
+            assert decode.requests[0].header('Last-Event-Id') == '2'
         assert _events(got) == [3, 4]
 
     run(work())
 
 
 def test_a_silent_runner_is_not_left_where_no_other_send_is_allowed():
-    """A runner is full, and the next one is silent for a while.
+    """Guards against an answer that is cut off although it could complete.
 
-    It preempts a stream and goes on with it after 1.3 s. Two sends are
-    all that the route allows; the second was ended as if a third might
-    follow, and the caller's answer was cut in the middle.
+    The first runner is full. The second runner preempts the stream and
+    continues it after 1.3 s. The route allows only two sends, but the
+    second send was abandoned as if a third could follow, which cut off the
+    caller's answer.
     """
 
     async def work():
         sends = []
 
-        async def full_then_silent(seen, writer):
-            sends.append(seen)
+        async def full_then_silent(request, writer):
+            sends.append(request)
             if len(sends) == 1:
                 refusal = scripted_runner.response(
                     b'', status=503, **{'Not-Run': '1'}
@@ -518,7 +536,7 @@
         async with harness.running(
             [full_then_silent] * 2, stages=[DECODE] * 2, **RESUMABLE
         ) as (front, _):
-            got = await front.ask(more=USAGE)
+            got = await front.request(headers=USAGE)
         assert _events(got) == [1, 2]
         assert _complete(got)
 
