--- a/limpetroute/forwarding/control_watch.py
+++ b/limpetroute/forwarding/control_watch.py
@@ -14,10 +14,10 @@
 
 LOG = logging.getLogger(__name__)
 
-# A control host holds a request for LONG_POLL_S while nothing changes. If
-# it has not responded RESPONSE_MARGIN_S after that, it counts as failed
-# and this host follows the next one. The sum stays well below the 2 s
-# within which a change must be in force here.
+# A control host holds a request for LONG_POLL_S while nothing changes. A
+# host that has not responded RESPONSE_MARGIN_S after that counts as
+# failed, and the next host is tried. The sum of both times stays well
+# below the 2 s within which a change must be in force here.
 LONG_POLL_S = 0.5
 RESPONSE_MARGIN_S = 0.4
 RETRY_DELAY_S = 0.05
--- a/limpetroute/forwarding/forward_meters.py
+++ b/limpetroute/forwarding/forward_meters.py
@@ -21,7 +21,7 @@
 )
 
 
-# Negative values are first events that came earlier than forecast.
+# Negative values mean that the first event came earlier than forecast.
 ERROR_BOUNDS_S = (-0.5, -0.2, -0.1, -0.05, 0.0, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0)
 
 
@@ -96,5 +96,5 @@
         self._sends.add(1, {'part': part, 'result': result})
 
     def crashed(self, begun: bool) -> None:
-        """Count a request under which a runner crashed."""
+        """Count a request that a crashed runner was processing."""
         self._crashes.add(1, {'begun': begun})
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -148,7 +148,7 @@
     async def request_trial(
         self, request: caller_request.CallerRequest
     ) -> Verdict:
-        """Request a trial: whether to send a quarantined request once."""
+        """Ask the control hosts for one send of a quarantined request."""
         fingerprint = request.fingerprint
         wait_s = self.wait_s(request)
         if wait_s:
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -91,8 +91,8 @@
     ) -> PlacementResult:
         """Return the leader's decision about a stream.
 
-        The call lasts until there is a free place or the leader rejects
-        the request.
+        The call lasts until a place is free or the leader rejects the
+        request.
         """
         if not self._leader_url:
             return SchedulerUnavailable(reason='no leader is known')
@@ -101,7 +101,7 @@
                 reason='the leader could not be reached'
             )
         try:
-            got = await self._http.call(
+            reply = await self._http.call(
                 method='POST',
                 url=f'{self._leader_url}/v1/places',
                 body=dataclasses.asdict(request),
@@ -109,34 +109,36 @@
                 connect_tries_s=CONNECT_TRIES_S,
             )
         except asyncio.CancelledError:
-            # The leader may already have reserved a place. The response
-            # that names it is lost with this call, so it is released
-            # unseen.
+            # The leader may already have reserved a place, and the
+            # response with that place is lost with this call. So any
+            # place of this attempt is released.
             self.release(
                 request.service,
                 placement.Release(
                     request_id=request.request_id,
                     attempt=request.attempt,
                 ),
-                known=False,
+                only_if_held=False,
             )
             raise
-        if isinstance(got, call_failed.CallFailed):
-            if not got.sent:
+        if isinstance(reply, call_failed.CallFailed):
+            if not reply.sent:
                 self._unreachable_until_s = _now_s() + UNREACHABLE_S
-            return SchedulerUnavailable(reason=f'the leader: {got.kind.value}')
+            return SchedulerUnavailable(
+                reason=f'the leader: {reply.kind.value}'
+            )
         try:
-            if got.ok and self._must_report_held:
+            if reply.ok and self._must_report_held:
                 self._must_report_held = False
                 self._run_in_background(self._report_held())
-            if got.status == HTTP_UNAVAILABLE:
-                return placement.Rejection(**got.json())
-            if not got.ok:
-                return SchedulerUnavailable(reason=f'status {got.status}')
+            if reply.status == HTTP_UNAVAILABLE:
+                return placement.Rejection(**reply.json())
+            if not reply.ok:
+                return SchedulerUnavailable(reason=f'status {reply.status}')
             assigned = placement.Placement(
-                **got.json(),
+                **reply.json(),
                 forecast=forecast_header.decode(
-                    got.headers.get(forecast_header.NAME)
+                    reply.headers.get(forecast_header.NAME)
                 ),
             )
         except (ValueError, TypeError) as exc:
@@ -173,7 +175,11 @@
         return next(self._attempts)
 
     def release(
-        self, service: str, release: placement.Release, *, known: bool = True
+        self,
+        service: str,
+        release: placement.Release,
+        *,
+        only_if_held: bool = True,
     ) -> None:
         """Release a placement in the background.
 
@@ -183,10 +189,11 @@
             The stream's service.
         release : Release
             The placement, with what was measured of its stream.
-        known : bool
-            Whether to ignore a placement that is not recorded here.
+        only_if_held : bool
+            Whether to skip the release if this host has no record of the
+            placement.
         """
-        if self._held.pop(release.request_id, None) is None and known:
+        if self._held.pop(release.request_id, None) is None and only_if_held:
             return
         if self._leader_url:
             self._run_in_background(self._send_release(service, release))
@@ -222,20 +229,20 @@
         attempt: int,
         *,
         path: str = '/v1/places/read',
-        **more: float,
+        **extra_fields: float,
     ) -> None:
-        got = await self._http.call(
+        reply = await self._http.call(
             method='POST',
             url=f'{self._leader_url}{path}',
             body={
                 'service': service,
                 'request_id': request_id,
                 'attempt': attempt,
-                **more,
+                **extra_fields,
             },
             timeout_s=NOTIFY_TIMEOUT_S,
         )
-        if isinstance(got, call_failed.CallFailed) or not got.ok:
+        if isinstance(reply, call_failed.CallFailed) or not reply.ok:
             LOG.info(
                 'could not report a finished prefill, it will expire',
                 extra={'request': request_id},
@@ -244,13 +251,13 @@
     async def _send_release(
         self, service: str, release: placement.Release
     ) -> None:
-        got = await self._http.call(
+        reply = await self._http.call(
             method='POST',
             url=f'{self._leader_url}/v1/places/end',
             body={'service': service, **dataclasses.asdict(release)},
             timeout_s=NOTIFY_TIMEOUT_S,
         )
-        if isinstance(got, call_failed.CallFailed) or not got.ok:
+        if isinstance(reply, call_failed.CallFailed) or not reply.ok:
             LOG.info(
                 'could not release a placement, it will expire',
                 extra={'request': release.request_id},
@@ -269,13 +276,13 @@
                     'asked': dataclasses.asdict(request),
                 }
             )
-        got = await self._http.call(
+        reply = await self._http.call(
             method='POST',
             url=f'{self._leader_url}/v1/places/held',
             body={'held': held},
             timeout_s=NOTIFY_TIMEOUT_S,
         )
-        if isinstance(got, call_failed.CallFailed) or not got.ok:
+        if isinstance(reply, call_failed.CallFailed) or not reply.ok:
             # Report again after the leader's next successful response.
             self._must_report_held = True
             LOG.info(
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -26,7 +26,7 @@
 
 LOG = logging.getLogger(__name__)
 
-# Failed prefills that a request may have; one more and it is refused.
+# A request with more failed prefills than this is refused.
 MAX_FAILED_PREFILLS = 2
 
 
--- a/tests/forwarding/large_routes.py
+++ b/tests/forwarding/large_routes.py
@@ -19,7 +19,7 @@
 
 
 def text(version, routes, **limits):
-    """Return a configuration; a given route number always looks the same."""
+    """Return a configuration; all versions begin with the same routes."""
     body = {
         'version': version,
         'routes': [_route(number) for number in range(routes)],
--- a/tests/forwarding/test_large_routes.py
+++ b/tests/forwarding/test_large_routes.py
@@ -42,7 +42,7 @@
 
 
 def test_one_route_more_costs_what_changed(tmp_path):
-    """Guards against answers that each small change of the routes delays.
+    """Guards against small changes of the routes that delay answers.
 
     A fleet has 10,000 routes, and one is added. Sending all of them takes
     four seconds of an entry host's link of 5 Mbit/s and a third of a
--- a/tests/forwarding/test_plain.py
+++ b/tests/forwarding/test_plain.py
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize('broken', BREAKING_SCRIPTS)
 def test_a_request_that_must_run_once_is_never_sent_again(broken):
-    """Guards against a request that runs twice, such as a payment.
+    """Guards against a request that runs twice, such as a payment order.
 
     The runner executes the request, and then its response breaks off.
     Sending the request to another runner would execute it again. The
@@ -181,7 +181,7 @@
 
 
 def test_extra_bytes_after_an_answer_reach_nobody():
-    """A runner sends two responses; the next caller must not get either."""
+    """A runner sends a second response; the next caller must not get it."""
 
     async def work():
         twice = scripted_runner.response(b'mine') + scripted_runner.response(
--- a/tests/forwarding/test_streams.py
+++ b/tests/forwarding/test_streams.py
@@ -331,19 +331,19 @@
 
 
 def test_a_connection_that_closes_during_the_prefill_is_replaced():
-    """The early connection to the decode runner closes before its use.
+    """The decode runner closes the connection before the request is sent.
 
     Nothing has run. If the request counted as possibly run, a stream that
     must not be sent twice would fail.
     """
 
     async def work():
-        async def slow_prefill(request, writer):
+        async def delayed_prefill(request, writer):
             await asyncio.sleep(0.2)
             await _prefill(request, writer)
 
         async with harness.running(
-            [slow_prefill, _stream(1, 2)],
+            [delayed_prefill, _stream(1, 2)],
             stages=[PREFILL, DECODE],
             **STREAM,
         ) as (front, (prefill, decode)):
