--- a/limpetroute/forwarding/fleet_view.py
+++ b/limpetroute/forwarding/fleet_view.py
@@ -76,8 +76,8 @@
             self._apply_runner(row)
         self.index = index
         self._by_service = {}
-        for one in self._runners.values():
-            self._by_service.setdefault(one.service, []).append(one)
+        for runner in self._runners.values():
+            self._by_service.setdefault(runner.service, []).append(runner)
         return True
 
     def prepare(self, parts: typing.Sequence[routes_parts.Part]) -> None:
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -282,19 +282,19 @@
     def _decode_speed(
         self, service: service_module.Service
     ) -> usual_size.UsualSize:
-        known = self._decode_speeds.get(service.name)
-        if known is None:
+        speed = self._decode_speeds.get(service.name)
+        if speed is None:
             assert service.engine is not None
-            known = self._decode_speeds[service.name] = usual_size.UsualSize(
+            speed = self._decode_speeds[service.name] = usual_size.UsualSize(
                 stage_rates.first_write_tokens_per_s(service.engine)
             )
-        return known
+        return speed
 
     def _retry_budget(self, service: str) -> send_budget.SendBudget:
-        known = self._retry_budgets.get(service)
-        if known is None:
-            known = self._retry_budgets[service] = self._make_retry_budget()
-        return known
+        budget = self._retry_budgets.get(service)
+        if budget is None:
+            budget = self._retry_budgets[service] = self._make_retry_budget()
+        return budget
 
 
 def _now_s() -> float:
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -82,9 +82,9 @@
         """Replace the fleet's quarantined requests."""
         received = frozenset(fingerprints)
         removed = self._fleet_wide - received
-        for one in removed:
-            self._local.clear(one)
-            self._refused_until_s.pop(one, None)
+        for fingerprint in removed:
+            self._local.clear(fingerprint)
+            self._refused_until_s.pop(fingerprint, None)
         if received != self._fleet_wide:
             LOG.info(
                 'quarantine changed',
@@ -132,10 +132,10 @@
         if not self._fleet_wide and not self._local:
             return
         fingerprint = request.fingerprint
-        known = fingerprint in self._fleet_wide or self._local.suspects(
+        is_suspect = fingerprint in self._fleet_wide or self._local.suspects(
             fingerprint
         )
-        if not known:
+        if not is_suspect:
             return
         self._local.clear(fingerprint)
         self._refused_until_s.pop(fingerprint, None)
@@ -180,9 +180,9 @@
     def _refuse(self, fingerprint: str, wait_s: float) -> Verdict:
         """Refuse a request and record for how long."""
         now_s = _now_s()
-        for one, until_s in list(self._refused_until_s.items()):
+        for other, until_s in list(self._refused_until_s.items()):
             if until_s <= now_s:
-                del self._refused_until_s[one]
+                del self._refused_until_s[other]
         if len(self._refused_until_s) < quarantine.KEPT_REQUESTS:
             self._refused_until_s[fingerprint] = now_s + wait_s
         return Verdict(allowed=False, wait_s=wait_s)
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -266,13 +266,13 @@
     async def _report_held(self) -> None:
         now_s = _now_s()
         held = []
-        for one in self._held.values():
-            waited_s = one.request.waited_s + now_s - one.since_s
-            request = dataclasses.replace(one.request, waited_s=waited_s)
+        for entry in self._held.values():
+            waited_s = entry.request.waited_s + now_s - entry.since_s
+            request = dataclasses.replace(entry.request, waited_s=waited_s)
             held.append(
                 {
-                    'decode_id': one.assigned.decode_id,
-                    'prefill_id': one.assigned.prefill_id,
+                    'decode_id': entry.assigned.decode_id,
+                    'prefill_id': entry.assigned.prefill_id,
                     'asked': dataclasses.asdict(request),
                 }
             )
