--- a/limpetroute/bench/scheduler_cost.py
+++ b/limpetroute/bench/scheduler_cost.py
@@ -20,7 +20,7 @@
     slots=64,
     memory_tokens=38_404,
     tokens_per_event=8,
-    handle_life_s=0.5,
+    prefill_result_ttl_s=0.5,
     stage_change_s=6.0,
 )
 PROMPT_TOKENS = 5000
@@ -87,11 +87,11 @@
         place = placement.Placement(
             request_id=name, decode_id=decode_id, prefill_id=''
         )
-        self.scheduler.adopt(place, _request(name), self._now_s)
+        self.scheduler.restore(place, _request(name), self._now_s)
 
     def _ask(self) -> None:
         self._asked += 1
-        self.scheduler.ask(_request(f's{self._asked}'), self._now_s)
+        self.scheduler.submit(_request(f's{self._asked}'), self._now_s)
 
     def _end(self) -> None:
         if not self._held:
@@ -102,7 +102,7 @@
             decode_s=3.4,
             whole=True,
         )
-        self.scheduler.end(end, self._now_s)
+        self.scheduler.release(end, self._now_s)
 
     def _decide(self) -> float:
         begun_s = time.perf_counter()
@@ -111,7 +111,9 @@
         for one in answers:
             if isinstance(one, placement.Placement):
                 self._held.append(one.request_id)
-                self.scheduler.read(one.request_id, 0, self._now_s)
+                self.scheduler.note_prefill_done(
+                    one.request_id, 0, self._now_s
+                )
         return took_s
 
 
@@ -121,9 +123,9 @@
     for runners in FLEETS:
         for waiting in WAITING:
             fleet = _FullFleet(runners, waiting)
-            checks = fleet.scheduler.room_checks
+            checks = fleet.scheduler.fit_checks
             times_s = sorted(fleet.times_s())
-            checks = fleet.scheduler.room_checks - checks
+            checks = fleet.scheduler.fit_checks - checks
             found.append(
                 SchedulerCost(
                     runners=runners,
--- a/limpetroute/control/status.py
+++ b/limpetroute/control/status.py
@@ -10,7 +10,7 @@
     """Return a control host's status as JSON types."""
     now_s = node.now_s
     newest = node.config.state.newest
-    away = set(node.reports.away(now_s))
+    away = set(node.reports.unresponsive(now_s))
     return {
         'host_id': node.settings.host_id,
         'zone': node.settings.zone,
@@ -30,7 +30,7 @@
         'hosts': {
             host_id: {
                 'number': report.number,
-                'heard_s_ago': round(now_s - report.heard_s, 1),
+                'heard_s_ago': round(now_s - report.last_seen_s, 1),
                 'away': host_id in away,
             }
             for host_id, report in node.reports.all().items()
@@ -48,7 +48,7 @@
         'role': replica.role.value,
         'term': replica.term,
         'leader_host': group.leader_host,
-        'in_touch': replica.in_touch(node.now_s),
+        'in_touch': replica.has_active_leader(node.now_s),
         'commit_index': replica.commit_index,
         'applied_index': replica.applied_index,
         'snapshot_index': replica.log.base_index,
--- a/limpetroute/dispatch/place_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -9,7 +9,7 @@
 from limpetroute.border import errors
 from limpetroute.border import forecast_header
 from limpetroute.border import limit_bodies
-from limpetroute.border import place_bodies
+from limpetroute.border import placement_bodies
 from limpetroute.dispatch import dispatcher as dispatcher_module
 from limpetroute.routing import placement
 from limpetroute.telemetry import boot_clock
@@ -34,18 +34,20 @@
             return None
 
 
-class PlaceHandler(_Handler):
+class PlacementHandler(_Handler):
     """``POST /v1/places``: held until there is a place, or none."""
 
     _task: 'asyncio.Task[dispatcher_module.Answer | None] | None' = None
 
     async def post(self) -> None:
         """Answer with a place, a refusal, or that this host cannot say."""
-        asked = self.parse(place_bodies.AskBody)
+        asked = self.parse(placement_bodies.PlacementRequestBody)
         if asked is None:
             return
-        assert isinstance(asked, place_bodies.AskBody)
-        self._task = asyncio.create_task(self.dispatcher.place(asked.ask()))
+        assert isinstance(asked, placement_bodies.PlacementRequestBody)
+        self._task = asyncio.create_task(
+            self.dispatcher.request_placement(asked.to_request())
+        )
         try:
             answer = await self._task
         except asyncio.CancelledError:
@@ -70,29 +72,31 @@
             self._task.cancel()
 
 
-class EndHandler(_Handler):
+class ReleaseHandler(_Handler):
     """``POST /v1/places/end``."""
 
     def post(self) -> None:
         """Take a place back."""
-        body = self.parse(place_bodies.EndBody)
+        body = self.parse(placement_bodies.ReleaseBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.EndBody)
-        self.dispatcher.end(body.service, body.end())
+        assert isinstance(body, placement_bodies.ReleaseBody)
+        self.dispatcher.release(body.service, body.to_release())
         self.set_status(204)
 
 
-class ReadHandler(_Handler):
+class PrefillDoneHandler(_Handler):
     """``POST /v1/places/read``."""
 
     def post(self) -> None:
         """Take note that a prompt was read apart."""
-        body = self.parse(place_bodies.ReadBody)
+        body = self.parse(placement_bodies.PrefillDoneBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.ReadBody)
-        self.dispatcher.read(body.service, body.request_id, body.attempt)
+        assert isinstance(body, placement_bodies.PrefillDoneBody)
+        self.dispatcher.note_prefill_done(
+            body.service, body.request_id, body.attempt
+        )
         self.set_status(204)
 
 
@@ -101,27 +105,27 @@
 
     def post(self) -> None:
         """Take note of the first event after a decode runner's reading."""
-        body = self.parse(place_bodies.FirstEventBody)
+        body = self.parse(placement_bodies.FirstEventBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.FirstEventBody)
-        self.dispatcher.first_event(
+        assert isinstance(body, placement_bodies.FirstEventBody)
+        self.dispatcher.note_first_event(
             body.service, body.request_id, body.attempt, body.took_s
         )
         self.set_status(204)
 
 
-class HeldHandler(_Handler):
+class RestoreHandler(_Handler):
     """``POST /v1/places/held``."""
 
     def post(self) -> None:
         """Take note of the places that an entry host holds."""
-        body = self.parse(place_bodies.HeldBody)
+        body = self.parse(placement_bodies.ReservationsBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.HeldBody)
+        assert isinstance(body, placement_bodies.ReservationsBody)
         for one in body.held:
-            self.dispatcher.adopt(one.place(), one.asked.ask())
+            self.dispatcher.restore(one.to_placement(), one.asked.to_request())
         self.set_status(204)
 
 
@@ -138,7 +142,7 @@
             self.set_status(HTTP_MISDIRECTED)
             self.finish({'reason': 'this host does not lead'})
             return
-        wait_s = self.dispatcher.take_limited(
-            body.report(boot_clock.now_s()), takes=body.takes
+        wait_s = self.dispatcher.acquire_token(
+            body.to_report(boot_clock.now_s()), has_request=body.takes
         )
         self.finish({'allowed': wait_s is None, 'wait_s': wait_s or 0.0})
--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -5,11 +5,11 @@
 import logging
 import typing
 
-from limpetroute.dispatch import order_dialect
+from limpetroute.dispatch import order_codec
+from limpetroute.routing import pool_sizing
 from limpetroute.routing import runner_info
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import stage_split
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
@@ -44,7 +44,7 @@
     ----------
     holder : str
         Name of this host in orders.
-    dialect : OrderDialect
+    codec : OrderCodec
         Writes orders.
     http : Caller
         Calls runners.
@@ -54,11 +54,11 @@
         self,
         *,
         holder: str,
-        dialect: order_dialect.OrderDialect,
+        codec: order_codec.OrderCodec,
         http: caller.Caller,
     ) -> None:
         self._holder = holder
-        self._dialect = dialect
+        self._codec = codec
         self._http = http
         self._fence = 0
         self._quiet_until_s = 0.0
@@ -97,7 +97,7 @@
         """
         return frozenset(self._accepted.intersection(self._ordered_s))
 
-    def keep(
+    def reconcile(
         self,
         service: service_module.Service,
         runners: typing.Sequence[runner_info.RunnerInfo],
@@ -129,7 +129,7 @@
             if one.runner_id in self._ordered_s
         ]
         gone_s = gone_s or {}
-        change = stage_split.next_change(
+        change = pool_sizing.next_change(
             runners,
             engine=service.engine,
             changing=changing,
@@ -140,8 +140,10 @@
             self._wanted_s.pop(service.name, None)
             return
         wanted_s = self._wanted_s.setdefault(service.name, now_s)
-        writers = stage_split.writers_after(change, runners, gone_s=gone_s)
-        if now_s - wanted_s < stage_split.wait_s(change, writers):
+        writers = pool_sizing.decode_runners_during_change(
+            change, runners, gone_s=gone_s
+        )
+        if now_s - wanted_s < pool_sizing.change_delay_s(change, writers):
             return
         target = next(
             one for one in runners if one.runner_id == change.runner_id
@@ -193,7 +195,7 @@
             )
 
     async def _is_busy(self, runner: runner_info.RunnerInfo) -> bool:
-        question = self._dialect.busy_question(runner.runner_id)
+        question = self._codec.busy_request(runner.runner_id)
         got = await self._http.call(
             method=question.method,
             url=f'http://{runner.address}{question.path}',
@@ -207,7 +209,7 @@
             )
             return False
         try:
-            return self._dialect.read_busy(got.body)
+            return self._codec.parse_busy(got.body)
         except ValueError as exc:
             LOG.warning(
                 'a report could not be read',
@@ -250,10 +252,10 @@
     async def _order(
         self,
         target: runner_info.RunnerInfo,
-        change: stage_split.StageChange,
+        change: pool_sizing.StageChange,
         rates: stage_rates.StageRates | None,
     ) -> None:
-        order = self._dialect.stage_order(
+        order = self._codec.stage_order(
             change.stage,
             runner_id=target.runner_id,
             holder=self._holder,
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -17,15 +17,15 @@
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.forwarding import scheduler_client
-from limpetroute.routing import last_streams
+from limpetroute.routing import moving_mean
 from limpetroute.routing import next_step
+from limpetroute.routing import retry_budget
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
-from limpetroute.routing import send_budget
 from limpetroute.routing import send_result
 from limpetroute.routing import service as service_module
+from limpetroute.routing import shutdown_admission
 from limpetroute.routing import stage_rates
-from limpetroute.routing import usual_size
 
 LOG = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
         dialect: dialect_module.Dialect,
         meters: forward_meters.ForwardMeters,
         zone: str,
-        make_retry_budget: typing.Callable[[], send_budget.SendBudget],
+        make_retry_budget: typing.Callable[[], retry_budget.RetryBudget],
         rng: random.Random,
     ) -> None:
         self.view = view
@@ -85,12 +85,12 @@
         # When a stopping host aborts open requests, by the event loop's
         # clock.
         self.shutdown_s: float | None = None
-        self._decode_speeds: dict[str, usual_size.UsualSize] = {}
+        self._decode_speeds: dict[str, moving_mean.MovingMean] = {}
         self.accepts_calls = True
         self._watch = watch
         self._make_retry_budget = make_retry_budget
         self._background_tasks: set[asyncio.Task[None]] = set()
-        self._retry_budgets: dict[str, send_budget.SendBudget] = {}
+        self._retry_budgets: dict[str, retry_budget.RetryBudget] = {}
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(view={self.view!r})'
@@ -108,10 +108,10 @@
         """Return whether a stream is sure to end before this host stops."""
         if self.shutdown_s is None:
             return True
-        return last_streams.may_take(
-            most_tokens=generation.max_output_tokens,
+        return shutdown_admission.ends_before_shutdown(
+            max_tokens=generation.max_output_tokens,
             tokens_per_s=self._decode_speed(service).mean,
-            left_s=self.shutdown_s - _now_s(),
+            remaining_s=self.shutdown_s - _now_s(),
         )
 
     def note_decode_speed(
@@ -196,7 +196,7 @@
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
         *,
-        begun: bool,
+        answer_begun: bool,
     ) -> None:
         """Report a runner that broke off, if it has crashed.
 
@@ -206,12 +206,12 @@
             The request that the runner was processing.
         runner : RunnerInfo
             The runner as it was known when the request was sent.
-        begun : bool
+        answer_begun : bool
             Whether the runner had sent a part of the answer.
         """
         if not await crash_check.has_crashed(runner, self.view):
             return
-        self.meters.crashed(begun)
+        self.meters.crashed(answer_begun)
         LOG.info(
             'runner crashed while processing a request',
             extra={
@@ -220,11 +220,11 @@
                 'runner': runner.runner_id,
                 'address': runner.address,
                 'started_ms': runner.started_ms,
-                'begun': begun,
+                'begun': answer_begun,
                 'index': self.view.index,
             },
         )
-        self.quarantine.note_crash(request, runner, begun=begun)
+        self.quarantine.note_crash(request, runner, answer_begun=answer_begun)
 
     @contextlib.contextmanager
     def log_if_cancelled(
@@ -281,16 +281,16 @@
 
     def _decode_speed(
         self, service: service_module.Service
-    ) -> usual_size.UsualSize:
+    ) -> moving_mean.MovingMean:
         speed = self._decode_speeds.get(service.name)
         if speed is None:
             assert service.engine is not None
-            speed = self._decode_speeds[service.name] = usual_size.UsualSize(
-                stage_rates.first_write_tokens_per_s(service.engine)
+            speed = self._decode_speeds[service.name] = moving_mean.MovingMean(
+                stage_rates.default_decode_tokens_per_s(service.engine)
             )
         return speed
 
-    def _retry_budget(self, service: str) -> send_budget.SendBudget:
+    def _retry_budget(self, service: str) -> retry_budget.RetryBudget:
         budget = self._retry_budgets.get(service)
         if budget is None:
             budget = self._retry_budgets[service] = self._make_retry_budget()
--- a/limpetroute/forwarding/forward_meters.py
+++ b/limpetroute/forwarding/forward_meters.py
@@ -95,6 +95,6 @@
         """Count a send to a runner."""
         self._sends.add(1, {'part': part, 'result': result})
 
-    def crashed(self, begun: bool) -> None:
+    def crashed(self, answer_begun: bool) -> None:
         """Count a request that a crashed runner was processing."""
-        self._crashes.add(1, {'begun': begun})
+        self._crashes.add(1, {'begun': answer_begun})
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -192,7 +192,7 @@
     ) -> AssignedRunners | None:
         view = self._context.view
         if assigned.forecast is not None:
-            view.load(assigned.decode_id).note_all_streams(
+            view.load(assigned.decode_id).note_fleet_streams(
                 assigned.forecast.beside + 1, _now_s()
             )
         decode = view.runner(assigned.decode_id)
@@ -210,7 +210,7 @@
     def _place_locally(
         self, request: placement.PlacementRequest
     ) -> AssignedRunners | placement.Rejection:
-        if request.waited_s > stream_times.longest_wait_s(request):
+        if request.waited_s > stream_times.max_wait_s(request):
             return placement.Rejection(
                 request_id=request.request_id,
                 retry_after_s=1.0,
@@ -225,7 +225,7 @@
             engine=self._service.engine,
             loads=context.view.loads,
             tokens=request.prompt_tokens + request.most_output_tokens,
-            part=LOCAL_SHARE_FACTOR / context.entry_hosts,
+            share=LOCAL_SHARE_FACTOR / context.entry_hosts,
             tried=request.avoid,
             now_s=now_s,
             rng=context.rng,
@@ -238,7 +238,7 @@
                 now_s=now_s,
                 rng=context.rng,
             )
-        may_prefill = prefill or local_placement.may_self_read_alone(
+        may_prefill = prefill or local_placement.may_self_prefill_locally(
             request, entry_hosts=context.entry_hosts
         )
         if (
--- a/limpetroute/forwarding/plain_forward.py
+++ b/limpetroute/forwarding/plain_forward.py
@@ -12,7 +12,7 @@
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.routing import next_step
-from limpetroute.routing import plain_choice
+from limpetroute.routing import plain_runner_choice
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
 from limpetroute.routing import send_history
@@ -87,7 +87,7 @@
             step = await self._send(runner)
             if step is next_step.Step.RELAY:
                 return
-            if step is not next_step.Step.AGAIN:
+            if step is not next_step.Step.RETRY:
                 await self._reply(step, 'after a send')
                 return
 
@@ -99,7 +99,7 @@
         )
 
     async def _refuse_without_runner(self) -> None:
-        wait_s = plain_choice.limit_wait_s(
+        wait_s = plain_runner_choice.limit_wait_s(
             self._context.view.runners(self._service),
             loads=self._context.view.loads,
             tried=self._tried_runners,
@@ -114,7 +114,7 @@
 
     def _choose(self) -> runner_info.RunnerInfo | None:
         context = self._context
-        return plain_choice.choose(
+        return plain_runner_choice.choose(
             context.view.runners(self._service),
             loads=context.view.loads,
             zone=context.zone,
@@ -157,7 +157,9 @@
         elif result is not send_result.SendResult.TIMED_OUT:
             load.note_failure(_now_s())
         if result is send_result.SendResult.BROKEN:
-            await context.report_if_crashed(self._request, runner, begun=False)
+            await context.report_if_crashed(
+                self._request, runner, answer_begun=False
+            )
         step = self._decide(result)
         context.log_send(
             self._request,
@@ -180,8 +182,8 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            left_s=self._context.remaining_s(self._request, self._route),
-            may_go_on=self._may_send_again,
+            remaining_s=self._context.remaining_s(self._request, self._route),
+            can_retry=self._may_send_again,
         )
 
     def _may_send_again(self) -> bool:
@@ -202,7 +204,7 @@
             request=self._request,
             route=self._route,
             responder=self._responder,
-            step=self._history.truly(step),
+            step=self._history.final_step(step),
             reason=reason,
             retry_after_s=retry_after_s,
         )
--- a/limpetroute/forwarding/prompt_prefill.py
+++ b/limpetroute/forwarding/prompt_prefill.py
@@ -128,7 +128,9 @@
         finally:
             call.close()
         if failed and failed.result is send_result.SendResult.BROKEN:
-            await context.report_if_crashed(self._request, runner, begun=False)
+            await context.report_if_crashed(
+                self._request, runner, answer_begun=False
+            )
         load = context.view.load(runner.runner_id)
         if failed is None:
             load.note_success(_now_s() - started_s)
@@ -140,7 +142,7 @@
             result=(
                 failed.result if failed else send_result.SendResult.ANSWERED
             ),
-            step=next_step.Step.AGAIN,
+            step=next_step.Step.RETRY,
             took_s=_now_s() - started_s,
             detail=failed.detail if failed else f'{tokens} tokens',
             part='prefill',
--- a/limpetroute/forwarding/quarantine_client.py
+++ b/limpetroute/forwarding/quarantine_client.py
@@ -9,8 +9,8 @@
 from limpetroute.control import control_client
 from limpetroute.forwarding import caller_request
 from limpetroute.routing import quarantine
+from limpetroute.routing import runner_incarnation
 from limpetroute.routing import runner_info
-from limpetroute.routing import runner_life
 from limpetroute.wire import caller
 
 LOG = logging.getLogger(__name__)
@@ -69,7 +69,7 @@
         self._fleet_wide: frozenset[str] = frozenset()
         self._refused_until_s: dict[str, float] = {}
         self._unreported: collections.OrderedDict[
-            runner_life.RunnerLife, dict[str, bool]
+            runner_incarnation.RunnerIncarnation, dict[str, bool]
         ] = collections.OrderedDict()
         self._unreported_clears: dict[str, None] = {}
         self._task: asyncio.Task[None] | None = None
@@ -112,17 +112,19 @@
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
         *,
-        begun: bool,
+        answer_begun: bool,
     ) -> None:
         """Record and report a request that a crashed runner processed."""
-        incarnation = runner.life
+        incarnation = runner.incarnation
         fingerprint = request.fingerprint
-        suspect = quarantine.Suspect(fingerprint=fingerprint, begun=begun)
+        suspect = quarantine.Suspect(
+            fingerprint=fingerprint, answer_begun=answer_begun
+        )
         self._local.note_crash(incarnation, [suspect])
         self._unreported_clears.pop(fingerprint, None)
         unreported = self._unreported.setdefault(incarnation, {})
-        if len(unreported) < quarantine.KEPT_SUSPECTS:
-            unreported[fingerprint] = begun
+        if len(unreported) < quarantine.MAX_SUSPECTS_PER_CRASH:
+            unreported[fingerprint] = answer_begun
         while len(self._unreported) > MAX_UNREPORTED:
             self._unreported.popitem(last=False)
         self._start_reporting()
@@ -132,7 +134,7 @@
         if not self._fleet_wide and not self._local:
             return
         fingerprint = request.fingerprint
-        is_suspect = fingerprint in self._fleet_wide or self._local.suspects(
+        is_suspect = fingerprint in self._fleet_wide or self._local.is_suspect(
             fingerprint
         )
         if not is_suspect:
@@ -183,7 +185,7 @@
         for other, until_s in list(self._refused_until_s.items()):
             if until_s <= now_s:
                 del self._refused_until_s[other]
-        if len(self._refused_until_s) < quarantine.KEPT_REQUESTS:
+        if len(self._refused_until_s) < quarantine.MAX_QUARANTINED_REQUESTS:
             self._refused_until_s[fingerprint] = now_s + wait_s
         return Verdict(allowed=False, wait_s=wait_s)
 
@@ -224,7 +226,7 @@
     async def _report_crashes(
         self,
         crashes: typing.Mapping[
-            runner_life.RunnerLife, typing.Mapping[str, bool]
+            runner_incarnation.RunnerIncarnation, typing.Mapping[str, bool]
         ],
     ) -> bool:
         rows = [
@@ -245,9 +247,9 @@
         if not urls:
             return None
         client = control_client.ControlClient(
-            urls=urls, http=self._http, try_s=CALL_TIMEOUT_S / 2
+            urls=urls, http=self._http, attempt_timeout_s=CALL_TIMEOUT_S / 2
         )
-        reply = await client.ask(
+        reply = await client.post(
             path=path, body=body, timeout_s=CALL_TIMEOUT_S
         )
         if isinstance(reply, control_client.Answered):
--- a/limpetroute/forwarding/rate_limit_client.py
+++ b/limpetroute/forwarding/rate_limit_client.py
@@ -7,8 +7,8 @@
 
 from limpetroute.forwarding import fleet_view
 from limpetroute.routing import rate_limit
+from limpetroute.routing import runner_incarnation
 from limpetroute.routing import runner_info
-from limpetroute.routing import runner_life
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
@@ -69,9 +69,11 @@
         self._entry_hosts = entry_hosts
         self._leader_url = ''
         self._unreachable_until_s = 0.0
-        self._limits: dict[runner_life.RunnerLife, _AnnouncedLimit] = {}
+        self._limits: dict[
+            runner_incarnation.RunnerIncarnation, _AnnouncedLimit
+        ] = {}
         self._local_buckets: dict[
-            runner_life.RunnerLife, rate_limit.TokenBucket
+            runner_incarnation.RunnerIncarnation, rate_limit.TokenBucket
         ] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
@@ -106,13 +108,13 @@
         if text is None:
             self.note_limit(runner, None)
             return
-        limit_per_s = rate_limit.read_limit(text)
+        limit_per_s = rate_limit.parse_limit(text)
         if limit_per_s is not None:
             self.note_limit(runner, limit_per_s)
             return
         load = self._view.load(runner.runner_id)
-        if load.unreadable_limit != text:
-            load.unreadable_limit = text
+        if load.invalid_limit != text:
+            load.invalid_limit = text
             LOG.warning(
                 'invalid rate limit of a runner',
                 extra={'runner': runner.runner_id, 'text': text[:80]},
@@ -123,7 +125,7 @@
     ) -> None:
         """Record the limit in a runner's response; None for no limit."""
         load = self._view.load(runner.runner_id)
-        limit = self._limits.get(runner.life)
+        limit = self._limits.get(runner.incarnation)
         if limit_per_s is None and limit is None:
             return
         if limit_per_s != load.limit_per_s:
@@ -143,12 +145,12 @@
         limit = _AnnouncedLimit(
             limit_per_s=limit_per_s, received_s=now_s, reported_s=reported_s
         )
-        self._limits[runner.life] = limit
+        self._limits[runner.incarnation] = limit
         if limit_per_s is None:
             load.limited_until_s = 0.0
-            self._local_buckets.pop(runner.life, None)
+            self._local_buckets.pop(runner.incarnation, None)
         if is_new or now_s - reported_s > REPORT_AGAIN_S:
-            self._start_report(runner.life, limit)
+            self._start_report(runner.incarnation, limit)
         self._drop_gone_runners()
 
     async def take(self, runner: runner_info.RunnerInfo) -> bool:
@@ -160,15 +162,15 @@
         load = self._view.load(runner.runner_id)
         if load.limit_per_s is None:
             return True
-        limit = self._limits.get(runner.life)
+        limit = self._limits.get(runner.incarnation)
         if limit is None:
             return True
         if load.is_limited(_now_s()):
             return False
-        decision = await self._report(runner.life, limit, takes=True)
+        decision = await self._report(runner.incarnation, limit, takes=True)
         if decision is None:
             return self._take_local_token(runner, load.limit_per_s)
-        self._local_buckets.pop(runner.life, None)
+        self._local_buckets.pop(runner.incarnation, None)
         if decision.allowed:
             return True
         load.limited_until_s = _now_s() + decision.wait_s
@@ -186,13 +188,13 @@
     ) -> bool:
         now_s = _now_s()
         hosts = max(1, self._entry_hosts())
-        rate_per_s = max(limit_per_s, rate_limit.LEAST_PER_S)
+        rate_per_s = max(limit_per_s, rate_limit.MIN_PROBE_RATE_PER_S)
         rate_per_s *= LOCAL_SHARE / hosts
-        bucket = self._local_buckets.get(runner.life)
+        bucket = self._local_buckets.get(runner.incarnation)
         if bucket is None:
             bucket = rate_limit.TokenBucket(rate_per_s=rate_per_s, now_s=now_s)
-            self._local_buckets[runner.life] = bucket
-        bucket.change(rate_per_s, now_s)
+            self._local_buckets[runner.incarnation] = bucket
+        bucket.set_rate(rate_per_s, now_s)
         if bucket.has_token(now_s):
             bucket.take(now_s)
             return True
@@ -202,7 +204,9 @@
         return False
 
     def _start_report(
-        self, incarnation: runner_life.RunnerLife, limit: _AnnouncedLimit
+        self,
+        incarnation: runner_incarnation.RunnerIncarnation,
+        limit: _AnnouncedLimit,
     ) -> None:
         task = asyncio.create_task(
             self._report(incarnation, limit, takes=False)
@@ -212,7 +216,7 @@
 
     async def _report(
         self,
-        incarnation: runner_life.RunnerLife,
+        incarnation: runner_incarnation.RunnerIncarnation,
         limit: _AnnouncedLimit,
         *,
         takes: bool,
@@ -269,7 +273,7 @@
         """Drop the limits of runners that have left or restarted."""
         for incarnation in list(self._limits):
             runner = self._view.runner(incarnation.runner_id)
-            if runner is None or runner.life != incarnation:
+            if runner is None or runner.incarnation != incarnation:
                 self._limits.pop(incarnation)
                 self._local_buckets.pop(incarnation, None)
 
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -304,4 +304,4 @@
 
 def _max_wait_s(request: placement.PlacementRequest) -> float:
     """Return how long the leader may hold a placement request."""
-    return max(0.0, stream_times.longest_wait_s(request) - request.waited_s)
+    return max(0.0, stream_times.max_wait_s(request) - request.waited_s)
--- a/limpetroute/forwarding/server.py
+++ b/limpetroute/forwarding/server.py
@@ -18,8 +18,8 @@
 from limpetroute.forwarding import quarantine_client
 from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import scheduler_client
+from limpetroute.routing import retry_budget
 from limpetroute.routing import route_plan
-from limpetroute.routing import send_budget
 from limpetroute.telemetry import exports as exports_module
 from limpetroute.wire import caller
 
@@ -189,9 +189,9 @@
             for host in hosts
         ]
 
-    def _make_retry_budget(self) -> send_budget.SendBudget:
+    def _make_retry_budget(self) -> retry_budget.RetryBudget:
         settings = self.settings.send_budget
-        return send_budget.SendBudget(
+        return retry_budget.RetryBudget(
             ratio=settings.ratio,
             slack=settings.slack,
             window_s=settings.window_s,
--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -123,7 +123,7 @@
                 self._full_runners.clear()
             if step is next_step.Step.RELAY:
                 return
-            if step is not next_step.Step.AGAIN:
+            if step is not next_step.Step.RETRY:
                 await self._reply(step, 'after a send')
                 return
 
@@ -141,7 +141,7 @@
 
     def _record_speed(self) -> None:
         decode_s = self._relay.decode_s
-        if self._is_complete and decode_s > reservations.LEAST_MEASURED_S:
+        if self._is_complete and decode_s > reservations.MIN_MEASURED_S:
             self._context.note_decode_speed(
                 self._service, self._written_tokens() / decode_s
             )
@@ -257,7 +257,7 @@
             return next_step.Step.REFUSE
         if not self._context.take_retry(self._service.name):
             return next_step.Step.REFUSE
-        return next_step.Step.AGAIN
+        return next_step.Step.RETRY
 
     async def _decode(
         self,
@@ -295,7 +295,7 @@
                     prefilled.taken = True
                 result = await self._relay.run(
                     call,
-                    may_switch_runner=self._history.another_may_follow,
+                    may_switch_runner=self._history.allows_another_send,
                     on_first_event=on_first_event,
                 )
         self._record_result(runner, result, prefilled, _now_s() - started_s)
@@ -305,7 +305,7 @@
             await context.report_if_crashed(
                 self._request,
                 runner,
-                begun=self._relay.event_count > events_before,
+                answer_begun=self._relay.event_count > events_before,
             )
         step = self._decide(result)
         context.log_send(
@@ -324,7 +324,7 @@
         )
         if step is next_step.Step.RELAY and not self._responder.finished:
             await self._relay_failure(call)
-        if step is next_step.Step.AGAIN and await self._is_unreachable(
+        if step is next_step.Step.RETRY and await self._is_unreachable(
             runner, result
         ):
             self._sends_to_unreachable += 1
@@ -345,7 +345,7 @@
         self, runner: runner_info.RunnerInfo, result: send_result.SendResult
     ) -> bool:
         """Return whether a runner that broke off cannot be reached."""
-        if result.surely_not_run:
+        if result.is_known_not_run:
             return False
         call = runner_call.RunnerCall(
             runner=runner, dialect=self._context.dialect
@@ -397,8 +397,8 @@
     def _decide(self, result: send_result.SendResult) -> next_step.Step:
         return self._history.decide(
             result,
-            left_s=self._context.remaining_s(self._request, self._route),
-            may_go_on=self._may_send_again,
+            remaining_s=self._context.remaining_s(self._request, self._route),
+            can_retry=self._may_send_again,
         )
 
     def _may_send_again(self) -> bool:
@@ -417,7 +417,7 @@
             request=self._request,
             route=self._route,
             responder=self._responder,
-            step=self._history.truly(step),
+            step=self._history.final_step(step),
             reason=reason,
             retry_after_s=retry_after_s,
         )
--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -3,9 +3,9 @@
 import typing
 
 from limpetroute.decisions import stage as stage_module
+from limpetroute.routing import free_memory_index
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import reservations
-from limpetroute.routing import room_index
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_limits
 
@@ -39,13 +39,14 @@
             stage_module.Stage | None, dict[str, runner_info.RunnerInfo]
         ] = {}
         self._unusable: tuple[set[str], set[str]] = (set(), set())
-        self.decoders = room_index.RoomIndex()
-        self.readers: list[runner_info.RunnerInfo] = []
+        self.decode_runners = free_memory_index.FreeMemoryIndex()
+        self.prefill_runners: list[runner_info.RunnerInfo] = []
 
     def __repr__(self) -> str:
         return (
-            f'{type(self).__name__}(decoders={len(self.decoders)!r}, '
-            f'readers={len(self.readers)!r})'
+            f'{type(self).__name__}('
+            f'decode_runners={len(self.decode_runners)!r}, '
+            f'prefill_runners={len(self.prefill_runners)!r})'
         )
 
     def refresh(
@@ -79,7 +80,7 @@
         else:
             self._eject(unusable[0] - ejected, ejected - unusable[0], now_s)
         ready = self._ready.get(stage_module.Stage.PREFILL, {})
-        self.readers = [
+        self.prefill_runners = [
             one for name, one in ready.items() if name not in unusable[1]
         ]
         return True
@@ -87,38 +88,40 @@
     def update(self, now_s: float) -> None:
         """Take note of what runners have free whose streams changed."""
         for runner_id in self._reservations.take_changed():
-            if runner_id in self.decoders:
-                self.decoders.put(
-                    self.decoders.runner(runner_id),
+            if runner_id in self.decode_runners:
+                self.decode_runners.put(
+                    self.decode_runners.runner(runner_id),
                     self._reservations.free_tokens(runner_id, now_s),
                 )
 
-    def by_room(
+    def by_free_memory(
         self, runner_ids: typing.Iterable[str]
     ) -> list[runner_info.RunnerInfo]:
         """Return some decode runners that may be used, most free first."""
-        known = [one for one in runner_ids if one in self.decoders]
-        known.sort(key=lambda one: (-self.decoders.free_tokens(one), one))
-        return [self.decoders.runner(one) for one in known]
+        known = [one for one in runner_ids if one in self.decode_runners]
+        known.sort(
+            key=lambda one: (-self.decode_runners.free_tokens(one), one)
+        )
+        return [self.decode_runners.runner(one) for one in known]
 
     def _index(self, now_s: float) -> None:
         self._reservations.take_changed()
-        self.decoders = room_index.RoomIndex()
+        self.decode_runners = free_memory_index.FreeMemoryIndex()
         ready = self._ready.get(stage_module.Stage.DECODE, {})
         for runner_id, one in ready.items():
             if runner_id not in self._unusable[0]:
                 free = self._reservations.free_tokens(runner_id, now_s)
-                self.decoders.put(one, free)
+                self.decode_runners.put(one, free)
 
     def _eject(
-        self, left_out: set[str], taken_back: set[str], now_s: float
+        self, newly_ejected: set[str], readmitted: set[str], now_s: float
     ) -> None:
-        for runner_id in left_out:
-            self.decoders.remove(runner_id)
+        for runner_id in newly_ejected:
+            self.decode_runners.remove(runner_id)
         ready = self._ready.get(stage_module.Stage.DECODE, {})
-        for runner_id in taken_back:
+        for runner_id in readmitted:
             free = self._reservations.free_tokens(runner_id, now_s)
-            self.decoders.put(ready[runner_id], free)
+            self.decode_runners.put(ready[runner_id], free)
 
     def _find_unusable(self, now_s: float) -> tuple[set[str], set[str]]:
         """Return the decode and the prefill runners that get no work.
@@ -128,19 +131,21 @@
         need no prefill runner; one that is gone and still registered
         would be given every prompt for want of another.
         """
-        decoders = self._ready.get(stage_module.Stage.DECODE, {})
-        readers = self._ready.get(stage_module.Stage.PREFILL, {})
-        no_decoders = self._outliers.ejected(decoders, now_s)
-        if len(no_decoders) == len(decoders):
-            no_decoders = set()
-        no_readers = self._outliers.ejected(readers, now_s)
-        if len(no_readers) == len(readers):
-            if decoders:
-                no_readers = {
+        decode_runners = self._ready.get(stage_module.Stage.DECODE, {})
+        prefill_runners = self._ready.get(stage_module.Stage.PREFILL, {})
+        ejected_decode = self._outliers.ejected(decode_runners, now_s)
+        if len(ejected_decode) == len(decode_runners):
+            ejected_decode = set()
+        ejected_prefill = self._outliers.ejected(prefill_runners, now_s)
+        if len(ejected_prefill) == len(prefill_runners):
+            if decode_runners:
+                ejected_prefill = {
                     one
-                    for one in no_readers
-                    if self._outliers.seemed_gone_s(one, now_s)
+                    for one in ejected_prefill
+                    if self._outliers.runner_gone_s(one, now_s)
                 }
             else:
-                no_readers = set()
-        return no_decoders, no_readers | self._limits.spent(readers, now_s)
+                ejected_prefill = set()
+        return ejected_decode, ejected_prefill | self._limits.exhausted(
+            prefill_runners, now_s
+        )
--- a/tests/forwarding/test_quarantine.py
+++ b/tests/forwarding/test_quarantine.py
@@ -54,10 +54,10 @@
     )
 
 
-def _crash(client, body=b'bad', count=3, begun=False, first=0):
+def _crash(client, body=b'bad', count=3, answer_begun=False, first=0):
     for number in range(first, first + count):
         runner = builders.make_runner(f'r{number}')
-        client.note_crash(_request(body), runner, begun=begun)
+        client.note_crash(_request(body), runner, answer_begun=answer_begun)
 
 
 def _may_send(client, body=b'bad'):
@@ -207,9 +207,11 @@
         for number in range(3 * quarantine_client.MAX_UNREPORTED):
             _crash(client, b'%d' % number, count=1, first=number)
         assert len(client._unreported) == quarantine_client.MAX_UNREPORTED
-        for number in range(2 * quarantine.KEPT_REQUESTS):
+        for number in range(2 * quarantine.MAX_QUARANTINED_REQUESTS):
             client._refuse(f'f{number}', 5.0)
-        assert len(client._refused_until_s) == quarantine.KEPT_REQUESTS
+        assert (
+            len(client._refused_until_s) == quarantine.MAX_QUARANTINED_REQUESTS
+        )
         client.stop()
 
     asyncio.run(work())
--- a/tests/forwarding/test_scheduler_client.py
+++ b/tests/forwarding/test_scheduler_client.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from limpetroute.border import place_bodies
+from limpetroute.border import placement_bodies
 from limpetroute.forwarding import scheduler_client
 from limpetroute.routing import placement
 from limpetroute.wire import call_failed
@@ -48,18 +48,18 @@
         leader = Leader()
         client = scheduler_client.SchedulerClient(http=leader)
         client.note_local_placement(
-            local_placement('own'), builders.make_ask('own')
+            local_placement('own'), builders.make_request('own')
         )
         client.follow('http://127.0.0.1:1')
         await asyncio.sleep(0)
         leader.calls.clear()
         client.note_local_placement(
-            local_placement('two'), builders.make_ask('two')
+            local_placement('two'), builders.make_request('two')
         )
-        await client.request_placement(builders.make_ask('asked'))
+        await client.request_placement(builders.make_request('asked'))
         await asyncio.sleep(0)
         reports = [body for kind, body in leader.calls if kind == 'held']
-        await client.request_placement(builders.make_ask('more'))
+        await client.request_placement(builders.make_request('more'))
         await asyncio.sleep(0)
         reports_later = [body for kind, body in leader.calls if kind == 'held']
         return reports, reports_later
@@ -76,14 +76,16 @@
         leader = Leader()
         client = scheduler_client.SchedulerClient(http=leader)
         client.follow('http://127.0.0.1:1')
-        await client.request_placement(builders.make_ask('held', attempt=3))
+        await client.request_placement(
+            builders.make_request('held', attempt=3)
+        )
         client.note_first_event('model', 'held', 3, 0.2)
         client.note_first_event('model', 'unknown', 1, 0.2)
         await asyncio.sleep(0)
         return [body for kind, body in leader.calls if kind == 'first-event']
 
     (body,) = asyncio.run(work())
-    assert place_bodies.FirstEventBody(**body).took_s == 0.2
+    assert placement_bodies.FirstEventBody(**body).took_s == 0.2
 
 
 def test_attempt_numbers_are_unique():
@@ -111,10 +113,12 @@
     async def work():
         leader = LateLeader()
         client = scheduler_client.SchedulerClient(http=leader)
-        client.note_placement(local_placement('own'), builders.make_ask('own'))
+        client.note_placement(
+            local_placement('own'), builders.make_request('own')
+        )
         client.follow('http://127.0.0.1:1')
         await asyncio.sleep(0)
-        await client.request_placement(builders.make_ask('asked'))
+        await client.request_placement(builders.make_request('asked'))
         await asyncio.sleep(0)
         return [body for kind, body in leader.calls if kind == 'held']
 
--- a/tests/routing/full_fleet.py
+++ b/tests/routing/full_fleet.py
@@ -18,29 +18,30 @@
     def __init__(self, runners, waiting):
         self.now_s = 0.0
         self.scheduler = stream_scheduler.StreamScheduler(engine=ENGINE)
-        readers = max(1, runners // 3)
+        prefill_runners = max(1, runners // 3)
         self.runners = [
             builders.make_runner(f'p{n}', builders.PREFILL)
-            for n in range(readers)
+            for n in range(prefill_runners)
         ]
         self.runners += [
-            builders.make_runner(f'd{n}') for n in range(runners - readers)
+            builders.make_runner(f'd{n}')
+            for n in range(runners - prefill_runners)
         ]
         self.held = []
         self.asked = 0
-        for number, runner in enumerate(self.runners[readers:]):
+        for number, runner in enumerate(self.runners[prefill_runners:]):
             for n in range(6):
                 self._adopt(f'h{number}-{n}', runner.runner_id)
         self.now_s = 1.0
         while self.scheduler.waiting < waiting:
-            self.ask()
+            self.submit()
         self.decide()
         self.now_s += 0.01
         assert self.scheduler.waiting == waiting
 
     def _adopt(self, name, decode_id):
         self.held.append(name)
-        self.scheduler.adopt(
+        self.scheduler.restore(
             placement.Placement(
                 request_id=name, decode_id=decode_id, prefill_id=''
             ),
@@ -49,7 +50,7 @@
         )
 
     def _request(self, name):
-        return builders.make_ask(
+        return builders.make_request(
             name,
             output_tokens=550,
             most_output_tokens=1100,
@@ -59,9 +60,9 @@
             pause_target_s=0.3,
         )
 
-    def ask(self):
+    def submit(self):
         self.asked += 1
-        self.scheduler.ask(self._request(f's{self.asked}'), self.now_s)
+        self.scheduler.submit(self._request(f's{self.asked}'), self.now_s)
 
     def end(self):
         end = placement.Release(
@@ -70,7 +71,7 @@
             decode_s=3.4,
             whole=True,
         )
-        self.scheduler.end(end, self.now_s)
+        self.scheduler.release(end, self.now_s)
 
     def decide(self):
         answers = self.scheduler.decide(self.runners, self.now_s)
@@ -79,5 +80,5 @@
         ]
         for one in placed:
             self.held.append(one.request_id)
-            self.scheduler.read(one.request_id, 0, self.now_s)
+            self.scheduler.note_prefill_done(one.request_id, 0, self.now_s)
         return answers
--- a/tests/routing/test_routes_copy.py
+++ b/tests/routing/test_routes_copy.py
@@ -6,14 +6,16 @@
 from hypothesis import strategies as st
 import pytest
 
+from limpetroute.routing import config_fragments
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 
 TEXTS = st.lists(st.sampled_from('abcdefgh'), max_size=12)
 
 
 def copy(version, texts, array='r'):
-    parts = tuple(routes_parts.Part(array, text) for text in texts)
+    parts = tuple(
+        config_fragments.ConfigFragment(array, text) for text in texts
+    )
     text = ''.join(texts)
     digest = hashlib.sha256(text.encode()).hexdigest()
     return routes_copy.RoutesCopy(version=version, digest=digest, parts=parts)
@@ -40,15 +42,15 @@
     newer = [*many[:500], 'new', *many[500:]]
     update = routes_copy.update_between(copy(1, many), copy(2, newer))
     assert update.steps == (
-        routes_copy.Kept(first=0, count=500),
-        routes_copy.Added(array='r', texts=('new',)),
-        routes_copy.Kept(first=500, count=9500),
+        routes_copy.BaseRange(first=0, count=500),
+        routes_copy.NewFragments(array='r', texts=('new',)),
+        routes_copy.BaseRange(first=500, count=9500),
     )
 
 
 def test_an_update_of_another_base_is_refused():
     update = routes_copy.update_between(copy(1, 'ab'), copy(2, 'abc'))
-    with pytest.raises(routes_copy.BaseNotHeldError):
+    with pytest.raises(routes_copy.BaseMismatchError):
         copy(1, 'xy').apply(update)
 
 
@@ -58,7 +60,7 @@
         version=2,
         digest=copy(2, 'abc').digest,
         base='',
-        steps=(routes_copy.Added(array='r', texts=('a', 'b')),),
+        steps=(routes_copy.NewFragments(array='r', texts=('a', 'b')),),
     )
     with pytest.raises(routes_copy.DigestMismatchError):
         routes_copy.RoutesCopy().apply(update)
