--- a/limpetroute/forwarding/stream_forward.py
+++ b/limpetroute/forwarding/stream_forward.py
@@ -191,7 +191,7 @@
         load = self._context.view.load(runner.runner_id)
         load.requests += 1
         load.tokens += self._peak_tokens()
-        prompt = prompt_prefill.PromptPrefill(
+        prefill = prompt_prefill.PromptPrefill(
             context=self._context, request=self._request, route=self._route
         )
         call = runner_call.RunnerCall(
@@ -205,10 +205,10 @@
                 # within 2 s while one of three was unresponsive).
                 failed = await call.connect()
                 if failed is not None:
-                    return self._step_after_failed_connect(runner, failed)
-                prefilled = await prompt.run(assigned.prefill)
+                    return self._handle_failed_connect(runner, failed)
+                prefilled = await prefill.run(assigned.prefill)
                 if prefilled is None:
-                    return self._step_after_failed_prefill(assigned.prefill)
+                    return self._handle_failed_prefill(assigned.prefill)
                 self._prefills += 1
                 session.note_prefill_done()
             return await self._decode(
@@ -216,14 +216,14 @@
             )
         finally:
             call.close()
-            prompt.free_unless_taken()
+            prefill.free_unless_taken()
             load.requests -= 1
             load.tokens -= self._peak_tokens()
 
-    def _step_after_failed_connect(
+    def _handle_failed_connect(
         self, runner: runner_info.RunnerInfo, failed: runner_call.SendFailure
     ) -> next_step.Step:
-        """Return the step after a failed connect to a decode runner."""
+        """Record a failed connect to a decode runner, return the next step."""
         self._tried_runners.add(runner.runner_id)
         self._note_failure(runner)
         step = self._decide(failed.result)
@@ -242,10 +242,10 @@
         self._context.view.load(runner.runner_id).note_failure(_now_s())
         self._failed_runners.add(runner.runner_id)
 
-    def _step_after_failed_prefill(
+    def _handle_failed_prefill(
         self, prefill: runner_info.RunnerInfo
     ) -> next_step.Step:
-        """Return the step after a failed prefill.
+        """Record a failed prefill and return the next step.
 
         The decode runner could prefill the prompt itself, but that delays
         all its other streams, so the scheduler has to plan for it. The
