--- a/limpetroute/routing/caller_limits.py
+++ b/limpetroute/routing/caller_limits.py
@@ -1,13 +1,13 @@
-"""What a caller may send, and how slowly."""
+"""Limits on callers' requests."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how slowly.
+    """Limits on the size and duration of callers' requests.
 
-    The defaults hold until a configuration is known.
+    The defaults apply until the first configuration is received.
     """
 
     max_header_bytes: int = 16384
--- a/limpetroute/routing/config_fragments.py
+++ b/limpetroute/routing/config_fragments.py
@@ -1,4 +1,4 @@
-"""Cuts a JSON document into parts that change one by one."""
+"""Splits a JSON document into fragments that change independently."""
 
 import json
 import re
@@ -9,15 +9,15 @@
 
 
 class ConfigFragment(typing.NamedTuple):
-    """A piece of a document.
+    """A fragment of a document.
 
     Parameters
     ----------
     array : str
-        Key of the top-level array whose element this is; empty for what
-        stands between elements.
+        Key of the top-level array whose element this is; empty for the
+        text between elements.
     text : str
-        The piece, with the comma that follows an element.
+        Text of the fragment, including the comma after an element.
     """
 
     array: str
@@ -25,83 +25,85 @@
 
     @property
     def element(self) -> str:
-        """The element alone."""
+        """Text of the element without spaces and comma around it."""
         return self.text.strip().removesuffix(',').rstrip()
 
 
 def split(text: str) -> tuple[ConfigFragment, ...]:
-    """Cut a document; the parts' texts, joined, are the document.
+    """Split a document into fragments whose texts add up to the document.
 
-    Each element of a top-level array is a part of its own. A document
-    that is no such object, or has an array under one key twice, is one
-    part as a whole: readers differ on which of the two counts.
+    Each element of a top-level array is a fragment of its own. A document
+    that is not a JSON object becomes a single fragment. So does an object
+    with a repeated key, as parsers differ on which of the values counts.
     """
     try:
-        parts = tuple(_Splitter(text).run())
+        fragments = tuple(_Splitter(text).run())
     except (ValueError, RecursionError):
         return (ConfigFragment('', text),)
-    return parts
+    return fragments
 
 
 class _Splitter:
     def __init__(self, text: str) -> None:
         self._text = text
-        self._at = 0
-        self._cut = 0
-        self._parts: list[ConfigFragment] = []
+        self._offset = 0
+        self._fragment_start = 0
+        self._fragments: list[ConfigFragment] = []
         self._keys: set[str] = set()
 
     def run(self) -> list[ConfigFragment]:
-        self._take('{')
+        self._consume('{')
         if self._peek() != '}':
-            self._member()
+            self._read_member()
             while self._peek() == ',':
-                self._take(',')
-                self._member()
-        self._take('}')
+                self._consume(',')
+                self._read_member()
+        self._consume('}')
         if self._peek():
-            raise ValueError('something follows the object')
-        self._cut_off('', len(self._text))
-        return self._parts
+            raise ValueError('unexpected text after the object')
+        self._end_fragment('', len(self._text))
+        return self._fragments
 
-    def _member(self) -> None:
+    def _read_member(self) -> None:
         self._peek()
-        key, self._at = _DECODER.raw_decode(self._text, self._at)
+        key, self._offset = _DECODER.raw_decode(self._text, self._offset)
         if not isinstance(key, str) or key in self._keys:
-            raise ValueError(f'no key of its own: {key!r}')
+            raise ValueError(f'key is not a string or is repeated: {key!r}')
         self._keys.add(key)
-        self._take(':')
+        self._consume(':')
         if self._peek() == '[':
-            self._array(key)
+            self._read_array(key)
             return
-        _, self._at = _DECODER.raw_decode(self._text, self._at)
+        _, self._offset = _DECODER.raw_decode(self._text, self._offset)
 
-    def _array(self, key: str) -> None:
-        self._take('[')
-        self._cut_off('', self._at)
+    def _read_array(self, key: str) -> None:
+        self._consume('[')
+        self._end_fragment('', self._offset)
         while self._peek() != ']':
-            _, self._at = _DECODER.raw_decode(self._text, self._at)
+            _, self._offset = _DECODER.raw_decode(self._text, self._offset)
             if self._peek() == ',':
-                self._at += 1
+                self._offset += 1
                 if self._peek() == ']':
-                    raise ValueError('nothing follows a comma')
+                    raise ValueError('no element after a comma')
             elif self._peek() != ']':
-                raise ValueError('elements stand side by side')
-            self._cut_off(key, self._at)
-        self._at += 1
+                raise ValueError('no comma between two elements')
+            self._end_fragment(key, self._offset)
+        self._offset += 1
 
-    def _cut_off(self, array: str, end: int) -> None:
-        self._parts.append(ConfigFragment(array, self._text[self._cut : end]))
-        self._cut = end
+    def _end_fragment(self, array: str, end: int) -> None:
+        self._fragments.append(
+            ConfigFragment(array, self._text[self._fragment_start : end])
+        )
+        self._fragment_start = end
 
-    def _take(self, sign: str) -> None:
+    def _consume(self, sign: str) -> None:
         if self._peek() != sign:
-            raise ValueError(f'no {sign!r} at {self._at}')
-        self._at += 1
+            raise ValueError(f'expected {sign!r} at {self._offset}')
+        self._offset += 1
 
     def _peek(self) -> str:
-        """Return the next character that is no space; nothing at the end."""
-        found = _SPACE.match(self._text, self._at)
+        """Return the next non-space character, or an empty string."""
+        found = _SPACE.match(self._text, self._offset)
         assert found is not None
-        self._at = found.end()
-        return self._text[self._at : self._at + 1]
+        self._offset = found.end()
+        return self._text[self._offset : self._offset + 1]
--- a/limpetroute/routing/fingerprint.py
+++ b/limpetroute/routing/fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two attempts of callers the same request."""
+"""Fingerprint that identifies repeated attempts at the same request."""
 
 import hashlib
 
@@ -6,7 +6,7 @@
 
 
 def fingerprint(*, host: str, path: str, caller: str, body: bytes) -> str:
-    """Return what all attempts at one request share.
+    """Return a digest that is equal for all attempts at one request.
 
     Parameters
     ----------
@@ -15,13 +15,14 @@
     path : str
         Path without the query.
     caller : str
-        The caller's credentials; empty where callers have none.
+        The caller's credentials; empty if the caller sends none.
     body : bytes
         The whole body.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (host, path, caller):
-        # Neither a host nor a path nor a header value holds this byte.
+        # No host, path or header value contains a zero byte, so it
+        # separates the parts unambiguously.
         digest.update(part.encode() + b'\0')
     digest.update(body)
     return digest.hexdigest()
--- a/limpetroute/routing/next_step.py
+++ b/limpetroute/routing/next_step.py
@@ -1,21 +1,21 @@
-"""What follows a send to a runner: an answer, or another send."""
+"""Decides whether a request is retried after a send to a runner."""
 
 import dataclasses
 import enum
 
 from limpetroute.routing import send_result
 
-# A second send with less time than this cannot be answered in time: the
+# A retry with less time than this cannot be answered in time: the
 # shortest plain calls take 45 ms, and a runner stops at the deadline.
-LEAST_TIME_S = 0.06
+MIN_RETRY_TIME_S = 0.06
 
 
 class Step(enum.StrEnum):
-    """What a caller gets.
+    """What the router does after a send.
 
-    ``RELAY`` is the runner's own answer, ``RETRY`` another send.
-    ``REFUSE`` promises that the request did not run and will not;
-    ``FAIL`` and ``EXPIRE`` promise nothing.
+    ``RELAY`` passes the runner's response on, and ``RETRY`` sends the
+    request again. ``REFUSE`` tells the caller that the request did not
+    run and will not run; after ``FAIL`` and ``EXPIRE`` it may have run.
     """
 
     RELAY = 'relay'
@@ -36,11 +36,11 @@
     result : SendResult
         How the last send ended.
     ran_before : bool
-        Whether an earlier send may have run.
+        Whether the request may have run in an earlier send.
     sends : int
         Sends so far that reached a runner.
     max_sends : int
-        The route's bound of these.
+        Most sends to runners that the route allows.
     remaining_s : float
         Time left until the caller's deadline or the route's timeout.
     """
@@ -53,38 +53,38 @@
     remaining_s: float
 
 
-def next_step(now: RetryContext) -> Step:
-    """Return what follows a send.
+def next_step(context: RetryContext) -> Step:
+    """Return the step that follows a send.
 
-    `RETRY` is subject to the budget of second sends and to there being
-    another runner; `without_retry` says what a caller gets otherwise.
+    `RETRY` additionally needs a token of the retry budget and another
+    runner; without them the step is that of `without_retry`.
     """
-    if now.result is send_result.SendResult.ANSWERED:
+    if context.result is send_result.SendResult.ANSWERED:
         return Step.RELAY
-    if now.remaining_s > LEAST_TIME_S and _may_send_again(now):
+    if context.remaining_s > MIN_RETRY_TIME_S and _may_retry(context):
         return Step.RETRY
-    return without_retry(now)
+    return without_retry(context)
 
 
-def without_retry(now: RetryContext) -> Step:
-    """Return what a caller gets if nothing more is sent."""
-    result = now.result
+def without_retry(context: RetryContext) -> Step:
+    """Return the step that ends a request without a retry."""
+    result = context.result
     if result is send_result.SendResult.FAILED:
         return Step.RELAY
-    if result.is_known_not_run and not now.ran_before:
+    if result.is_known_not_run and not context.ran_before:
         return Step.REFUSE
     if result is send_result.SendResult.TIMED_OUT:
         return Step.EXPIRE
     return Step.FAIL
 
 
-def _may_send_again(now: RetryContext) -> bool:
-    # A connect that failed reached nobody and counts for nothing.
-    if now.result is send_result.SendResult.NOT_SENT:
-        return now.sends < now.max_sends
-    if now.sends >= now.max_sends:
+def _may_retry(context: RetryContext) -> bool:
+    # A failed connect reached no runner and is not counted in `sends`.
+    if context.result is send_result.SendResult.NOT_SENT:
+        return context.sends < context.max_sends
+    if context.sends >= context.max_sends:
         return False
-    if now.result.is_known_not_run:
+    if context.result.is_known_not_run:
         return True
-    # Whatever else came of it, the runner may have run it.
-    return now.repeatable
+    # After any other result the runner may have run the request.
+    return context.repeatable
--- a/limpetroute/routing/plain_runner_choice.py
+++ b/limpetroute/routing/plain_runner_choice.py
@@ -1,4 +1,4 @@
-"""Where a plain request goes."""
+"""Chooses the runner of a plain request."""
 
 import random
 import typing
@@ -6,9 +6,10 @@
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_load
 
-# Requests that a runner of the own zone may have more than the least
-# loaded one and still be taken. Hosts don't see each other's requests,
-# so a difference of one says little; bytes between zones are paid for.
+# A runner in this host's zone is preferred while it has at most this many
+# more requests than the least loaded runner. Hosts do not see each other's
+# requests, so a difference of one request means little, while traffic
+# between zones costs money.
 OWN_ZONE_BONUS_REQUESTS = 1.0
 
 
@@ -23,42 +24,44 @@
 ) -> runner_info.RunnerInfo | None:
     """Return the runner for a request, or None if there is none.
 
-    Many hosts choose without knowing of each other. The least loaded by
-    the own count, ties by lot, keeps them from all taking the same one.
-    A runner that rests after a failure comes last, not never: with all
-    of them resting, one of them is still the best try. One whose limit of
-    requests a second is spent is left out: the rest goes elsewhere, or
-    back to its callers.
+    Hosts choose independently of each other. Each takes the runner with
+    the fewest of its own requests and breaks ties at random, so that the
+    hosts do not all choose the same runner.
+
+    Ejected runners rank last but are not left out: if all runners are
+    ejected, one of them is still the best choice. A runner whose rate
+    limit is used up is left out; the request goes to another runner, or
+    is refused so that the caller may retry.
 
     Parameters
     ----------
     runners : iterable of RunnerInfo
         Runners of the service.
     loads : mapping of str to RunnerLoad
-        What is known of each, by identity.
+        Known load of the runners, by identity.
     zone : str
-        The own zone.
+        This host's zone.
     tried : collection of str
-        Runners that this request was sent to.
+        Runners that this request was sent to already.
     now_s : float
-        A steady clock.
+        Time of a monotonic clock.
     rng : random.Random
         Breaks ties.
     """
     best = None
     best_rank: tuple[bool, float, float] | None = None
-    for one in runners:
-        if not one.ready or one.runner_id in tried:
+    for runner in runners:
+        if not runner.ready or runner.runner_id in tried:
             continue
-        load = loads.get(one.runner_id) or runner_load.RunnerLoad()
+        load = loads.get(runner.runner_id) or runner_load.RunnerLoad()
         if load.is_limited(now_s):
             continue
-        waiting = float(load.requests)
-        if one.zone == zone:
-            waiting -= OWN_ZONE_BONUS_REQUESTS
-        rank = (load.is_ejected(now_s), waiting, rng.random())
+        requests = float(load.requests)
+        if runner.zone == zone:
+            requests -= OWN_ZONE_BONUS_REQUESTS
+        rank = (load.is_ejected(now_s), requests, rng.random())
         if best_rank is None or rank < best_rank:
-            best, best_rank = one, rank
+            best, best_rank = runner, rank
     return best
 
 
@@ -69,13 +72,15 @@
     tried: typing.Collection[str],
     now_s: float,
 ) -> float:
-    """Return when one of the limited runners takes a request again.
+    """Return the time until the next rate-limited runner takes a request.
 
-    0 if no runner is left out for its limit alone.
+    0 if no runner is left out because of its rate limit alone.
     """
     waits_s = [
-        loads[one.runner_id].limited_until_s - now_s
-        for one in runners
-        if one.ready and one.runner_id in loads and one.runner_id not in tried
+        loads[runner.runner_id].limited_until_s - now_s
+        for runner in runners
+        if runner.ready
+        and runner.runner_id in loads
+        and runner.runner_id not in tried
     ]
-    return min((one for one in waits_s if one > 0.0), default=0.0)
+    return min((wait_s for wait_s in waits_s if wait_s > 0.0), default=0.0)
--- a/limpetroute/routing/quarantine.py
+++ b/limpetroute/routing/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests under which runners crash, kept from further runners."""
+"""Quarantine of requests that crash runners."""
 
 import collections
 import dataclasses
@@ -7,13 +7,12 @@
 
 from limpetroute.routing import runner_incarnation
 
-# Crashes of runners after which a request is no longer sent.
+# Number of crashes blamed on a request after which it is quarantined.
 CRASHES_TO_QUARANTINE = 3
-# Times that a quarantined request may be tried once more, whatever the
-# number of hosts.
+# Trials of a quarantined request, over all hosts together.
 MAX_TRIALS = 3
-# Bounds of what is kept. The oldest crash goes first, and the quarantined
-# request that was not asked for the longest.
+# Bounds of the tables. The crash that was reported least recently and the
+# request whose trial was requested least recently are removed first.
 MAX_STORED_CRASHES = 128
 MAX_SUSPECTS_PER_CRASH = 64
 MAX_QUARANTINED_REQUESTS = 256
@@ -26,9 +25,9 @@
     Parameters
     ----------
     fingerprint : str
-        What all attempts at the request share.
+        Digest that is equal for all attempts at the request.
     answer_begun : bool
-        Whether a part of its answer had come from the runner.
+        Whether the runner had sent a part of the answer.
     """
 
     fingerprint: str
@@ -36,10 +35,10 @@
 
 
 class Trial(enum.StrEnum):
-    """Whether a quarantined request may be tried once more.
+    """Whether a quarantined request may be sent to a runner once more.
 
-    ``RELEASED`` is said of a request that is not quarantined, and
-    ``DENIED`` where another host was sooner or all trials are spent.
+    ``RELEASED`` means that the request is not quarantined, and ``DENIED``
+    that another host took the trial or that all trials are used up.
     """
 
     GRANTED = 'granted'
@@ -48,20 +47,22 @@
 
 
 class Quarantine:
-    """Requests under which runners crash, kept from further runners.
-
-    Pattern: a request crashes each runner that begins to run it, and is
-    sent again, under a new id and at another host each time, as soon as
-    runners are back. All other requests there are lost with each crash.
-
-    Which of the requests at a runner crashed it is not known. One that
-    crashes runners has mostly got no answer from them, so requests whose
-    answer had begun are only blamed where there are no others; and a crash
-    that a quarantined request explains is no one else's. A request that
-    was at runners which crashed by themselves is told from one that
-    crashes them by a trial: an answer that comes to its end clears it.
-
-    Pure: the same calls lead to the same state.
+    """Quarantine of requests that crash runners.
+
+    Such a request crashes each runner that starts to run it, and its
+    caller sends it again, with a new request id and through another host,
+    as soon as runners are back. Each crash loses all other requests at the
+    runner.
+
+    Which of the requests at a runner caused a crash is not known. A
+    request that crashes runners has usually received no part of an answer.
+    Requests whose answer had begun are therefore blamed only if all
+    requests at the runner had begun, and no other request is blamed for a
+    crash at which a quarantined request was present. A request that only
+    happened to be at crashing runners is recognised by a trial: a complete
+    answer clears it.
+
+    The state depends only on the sequence of calls.
     """
 
     def __init__(self) -> None:
@@ -96,7 +97,7 @@
         )
 
     def trial_count(self, fingerprint: str) -> int:
-        """Return how often a quarantined request was tried again."""
+        """Return the number of trials of a quarantined request."""
         return self._trials.get(fingerprint, 0)
 
     def note_crash(
@@ -104,24 +105,25 @@
         incarnation: runner_incarnation.RunnerIncarnation,
         suspects: typing.Iterable[Suspect],
     ) -> None:
-        """Take a crash, or more of the requests that were there."""
+        """Add a crash, or add suspects to a known crash."""
         known = self._crashes.setdefault(incarnation, {})
         self._crashes.move_to_end(incarnation)
-        for one in suspects:
+        for suspect in suspects:
             if (
-                one.fingerprint not in known
+                suspect.fingerprint not in known
                 and len(known) >= MAX_SUSPECTS_PER_CRASH
             ):
                 break
-            known[one.fingerprint] = one.answer_begun
+            known[suspect.fingerprint] = suspect.answer_begun
         while len(self._crashes) > MAX_STORED_CRASHES:
             self._crashes.popitem(last=False)
-        self._judge(known)
+        self._quarantine_blamed(known)
 
     def clear(self, fingerprint: str) -> None:
-        """Take a request for harmless: a runner answered it to the end.
+        """Remove a request that a runner has answered completely.
 
-        What it was blamed for falls back to the others that were there.
+        The crashes that it was blamed for count against the other
+        suspects again.
         """
         self._trials.pop(fingerprint, None)
         others: set[str] = set()
@@ -131,29 +133,30 @@
             others.update(suspects)
             if not suspects:
                 del self._crashes[incarnation]
-        self._judge(others)
+        self._quarantine_blamed(others)
 
-    def take_trial(self, fingerprint: str, taken: int) -> Trial:
-        """Let a quarantined request be sent once more, if it may be.
+    def take_trial(self, fingerprint: str, trials_seen: int) -> Trial:
+        """Grant one more trial of a quarantined request, if allowed.
 
         Parameters
         ----------
         fingerprint : str
             The request.
-        taken : int
-            Trials that it has had, as far as its host knows.
+        trials_seen : int
+            Number of the request's trials that the asking host knows of.
+            The trial is denied if another host has taken one meanwhile.
         """
-        known = self._trials.get(fingerprint)
-        if known is None:
+        trials = self._trials.get(fingerprint)
+        if trials is None:
             return Trial.RELEASED
         self._trials.move_to_end(fingerprint)
-        if known != taken or known >= MAX_TRIALS:
+        if trials != trials_seen or trials >= MAX_TRIALS:
             return Trial.DENIED
-        self._trials[fingerprint] = taken + 1
+        self._trials[fingerprint] = trials_seen + 1
         return Trial.GRANTED
 
     def dump(self) -> dict[str, typing.Any]:
-        """Return the whole table as JSON types."""
+        """Return the whole state as JSON types."""
         crashes = [
             [incarnation.runner_id, incarnation.started_ms, suspects]
             for incarnation, suspects in self._crashes.items()
@@ -161,7 +164,7 @@
         return {'crashes': crashes, 'trials': self._trials}
 
     def load(self, body: typing.Mapping[str, typing.Any]) -> None:
-        """Take what `dump` returned, into an empty table."""
+        """Load the result of `dump` into an empty quarantine."""
         for runner_id, started_ms, suspects in body['crashes']:
             incarnation = runner_incarnation.RunnerIncarnation(
                 runner_id=runner_id, started_ms=started_ms
@@ -169,23 +172,24 @@
             self._crashes[incarnation] = suspects
         self._trials.update(body['trials'])
 
-    def _judge(self, fingerprints: typing.Iterable[str]) -> None:
-        """Quarantine those that are blamed for enough crashes."""
-        # All are counted before one is quarantined: of two that were at
-        # the same runners each time, neither explains the other.
+    def _quarantine_blamed(self, fingerprints: typing.Iterable[str]) -> None:
+        """Quarantine the requests that are blamed for enough crashes."""
+        # All blames are counted before any request is quarantined. If two
+        # requests were at the same runners at each crash, both must be
+        # quarantined; quarantining the first would clear the second.
         found = [
-            one
-            for one in fingerprints
-            if one not in self._trials
-            and self._blames(one) >= CRASHES_TO_QUARANTINE
+            fingerprint
+            for fingerprint in fingerprints
+            if fingerprint not in self._trials
+            and self._blame_count(fingerprint) >= CRASHES_TO_QUARANTINE
         ]
-        for one in found:
-            self._trials[one] = 0
+        for fingerprint in found:
+            self._trials[fingerprint] = 0
         while len(self._trials) > MAX_QUARANTINED_REQUESTS:
             self._trials.popitem(last=False)
 
-    def _blames(self, fingerprint: str) -> int:
-        """Return for how many crashes a request is blamed."""
+    def _blame_count(self, fingerprint: str) -> int:
+        """Return the number of crashes that a request is blamed for."""
         return sum(
             fingerprint in suspects and self._is_blamed(fingerprint, suspects)
             for suspects in self._crashes.values()
--- a/limpetroute/routing/route.py
+++ b/limpetroute/routing/route.py
@@ -1,4 +1,4 @@
-"""One route."""
+"""A route."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Share:
-    """A service's part of a route's requests, relative to the others."""
+    """Relative weight of a service among the services of a route."""
 
     service: str
     weight: float
@@ -15,34 +15,34 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Where requests of one host and path go, and how.
+    """Services and targets of the requests with one host and path prefix.
 
     Parameters
     ----------
     name : str
-        For log lines.
+        Name in log lines.
     host : str
-        Host the caller names.
+        Host that the caller names.
     path_prefix : str
-        Begins and ends with a slash.
+        Prefix of the path; starts and ends with a slash.
     kind : RouteKind
-        What may be repeated.
+        Kind of the requests, which decides whether they may be repeated.
     timeout_s : float
-        Longest time that a caller is kept waiting for a whole answer.
+        Longest time that a caller waits for a complete answer.
     target_s : float
-        Time within which an answer, or a stream's first event, is good.
+        Target for the time to an answer, or to a stream's first event.
     gap_target_s : float or None
-        Longest pause between two events of a good stream.
+        Target for the gap between two events of a stream.
     priority : int
-        Rank; 0 goes first.
+        Priority of the requests; 0 is the highest.
     shares : tuple of Share
-        Services, and how much each of them takes.
+        Services and their weights.
     max_sends : int
-        Runners that one attempt of a caller may be sent to.
+        Most runners that one attempt of a caller is sent to.
     resumable : bool
-        Whether a stream may go on at another runner.
+        Whether a stream may be resumed at another runner.
     silence_s : float
-        Time without an event after which a stream's caller leaves.
+        Time without an event after which a stream's caller disconnects.
     """
 
     name: str
--- a/limpetroute/routing/route_kind.py
+++ b/limpetroute/routing/route_kind.py
@@ -1,13 +1,14 @@
-"""What may be repeated."""
+"""Kinds of routes."""
 
 import enum
 
 
 class RouteKind(enum.StrEnum):
-    """What a route's requests are, which says what may be repeated.
+    """Kind of a route's requests, which decides whether they are retried.
 
-    ``ONCE`` requests run at most once for each attempt of a caller;
-    ``STREAM`` requests too, unless their route lets them resume.
+    ``IDEMPOTENT`` requests may run several times. ``ONCE`` requests run at
+    most once for each attempt of a caller, and so do ``STREAM`` requests
+    unless their route is resumable.
     """
 
     IDEMPOTENT = 'idempotent'
--- a/limpetroute/routing/route_plan.py
+++ b/limpetroute/routing/route_plan.py
@@ -1,4 +1,4 @@
-"""All routes and services of one version."""
+"""Routes and services of one version of the configuration."""
 
 import dataclasses
 
@@ -9,18 +9,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RoutePlan:
-    """All routes and services of one version.
+    """Routes and services of one version of the configuration.
 
     Parameters
     ----------
     version : int
-        Only a higher one replaces it.
+        Version number; a plan is replaced only by a higher version.
     routes : tuple of Route
         The routes.
     services : tuple of Service
         The services.
     limits : CallerLimits
-        Bounds of what callers may send.
+        Limits on callers' requests.
     """
 
     version: int
@@ -36,44 +36,44 @@
 
     def __post_init__(self) -> None:
         by_host: dict[str, list[route_module.Route]] = {}
-        for one in self.routes:
-            by_host.setdefault(one.host.lower(), []).append(one)
+        for route in self.routes:
+            by_host.setdefault(route.host.lower(), []).append(route)
         for routes in by_host.values():
             routes.sort(key=lambda route: -len(route.path_prefix))
-        by_name = {one.name: one for one in self.services}
+        by_name = {service.name: service for service in self.services}
         object.__setattr__(self, '_by_host', by_host)
         object.__setattr__(self, '_by_name', by_name)
 
     def find(self, host: str, path: str) -> route_module.Route | None:
-        """Return the route of a request: the longest prefix wins."""
-        for one in self._by_host.get(host.lower(), ()):
-            if path.startswith(one.path_prefix):
-                return one
+        """Return the route with the longest prefix of a request's path."""
+        for route in self._by_host.get(host.lower(), ()):
+            if path.startswith(route.path_prefix):
+                return route
         return None
 
     def service(self, name: str) -> service_module.Service | None:
-        """Return a service."""
+        """Return the service of a name, or None."""
         return self._by_name.get(name)
 
     def problems(self) -> list[str]:
-        """Say what makes this plan invalid; nothing if it is sound."""
+        """Return the errors of this plan, or an empty list if it is valid."""
         lines = []
         seen: set[tuple[str, str]] = set()
-        for one in self.routes:
-            where = f'route {one.name!r}'
-            key = (one.host.lower(), one.path_prefix)
+        for route in self.routes:
+            where = f'route {route.name!r}'
+            key = (route.host.lower(), route.path_prefix)
             if key in seen:
                 lines.append(f'{where}: its host and prefix stand twice')
             seen.add(key)
-            if not one.path_prefix.startswith('/'):
+            if not route.path_prefix.startswith('/'):
                 lines.append(f'{where}: its prefix does not begin with /')
-            if not one.path_prefix.endswith('/'):
+            if not route.path_prefix.endswith('/'):
                 lines.append(f'{where}: its prefix does not end with /')
-            if one.timeout_s <= 0:
+            if route.timeout_s <= 0:
                 lines.append(f'{where}: its timeout is 0')
-            if sum(share.weight for share in one.shares) <= 0:
+            if sum(share.weight for share in route.shares) <= 0:
                 lines.append(f'{where}: its weights add up to 0')
-            for share in one.shares:
+            for share in route.shares:
                 if share.weight < 0:
                     lines.append(f'{where}: a weight is below 0')
                 if share.service not in self._by_name:
--- a/limpetroute/routing/routes_copy.py
+++ b/limpetroute/routing/routes_copy.py
@@ -1,4 +1,4 @@
-"""A host's copy of the routing configuration, and how it moves on."""
+"""A host's copy of the routing configuration, and updates to it."""
 
 import dataclasses
 import hashlib
@@ -8,16 +8,16 @@
 
 
 class BaseMismatchError(ValueError):
-    """An update starts from another version than the one held."""
+    """An update is based on another document than this copy."""
 
 
 class DigestMismatchError(ValueError):
-    """An update does not lead to the document that it names."""
+    """An update does not produce the document that its digest names."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class BaseRange:
-    """A run of parts that the base has already."""
+    """Consecutive fragments that are copied from the base document."""
 
     first: int
     count: int
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NewFragments:
-    """Parts that the base lacks; all of one array."""
+    """Fragments of one array that the base document lacks."""
 
     array: str
     texts: tuple[str, ...]
@@ -33,18 +33,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RoutesUpdate:
-    """The way from one version of the configuration to another.
+    """Difference between two versions of the configuration.
 
     Parameters
     ----------
     version : int
-        Version that it leads to.
+        Version that the update produces.
     digest : str
         SHA-256 of that version's document.
     base : str
-        Digest of the document that it starts from; empty for none.
+        Digest of the document that the update is based on; empty for none.
     steps : tuple of BaseRange or NewFragments
-        The parts of the new document, in order.
+        The fragments of the new document, in order.
     """
 
     version: int
@@ -54,7 +54,7 @@
 
     @property
     def added(self) -> list[config_fragments.ConfigFragment]:
-        """The parts that the base lacks."""
+        """The fragments that the base document lacks."""
         return [
             config_fragments.ConfigFragment(step.array, text)
             for step in self.steps
@@ -65,16 +65,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RoutesCopy:
-    """One version of the routing configuration, in parts.
+    """One version of the routing configuration, split into fragments.
 
     Parameters
     ----------
     version : int
-        Its number; 0 for none.
+        Version number; 0 if there is no configuration yet.
     digest : str
-        SHA-256 of the document; empty for none.
+        SHA-256 of the document; empty if there is none.
     parts : tuple of ConfigFragment
-        The document.
+        Fragments of the document, in order.
     """
 
     version: int = 0
@@ -88,28 +88,31 @@
         )
 
     def apply(self, update: RoutesUpdate) -> 'RoutesCopy':
-        """Return the copy that an update leads to.
+        """Return the copy that results from an update.
 
         Raises
         ------
         BaseMismatchError
-            If it starts from another document.
+            If the update is based on another document.
         DigestMismatchError
-            If it does not lead to the document that was acknowledged.
+            If the resulting document has another digest than the version
+            that was acknowledged.
         """
         if update.base and update.base != self.digest:
-            raise BaseMismatchError(f'starts from {update.base[:12]!r}')
-        parts = tuple(self._moved_on(update.steps))
-        text = ''.join([part.text for part in parts])
+            raise BaseMismatchError(
+                f'update is based on document {update.base[:12]!r}'
+            )
+        parts = tuple(self._updated_fragments(update.steps))
+        text = ''.join([fragment.text for fragment in parts])
         if hashlib.sha256(text.encode()).hexdigest() != update.digest:
             raise DigestMismatchError(
-                f'version {update.version} comes out as another document'
+                f'digest of version {update.version} does not match'
             )
         return RoutesCopy(
             version=update.version, digest=update.digest, parts=parts
         )
 
-    def _moved_on(
+    def _updated_fragments(
         self, steps: typing.Iterable[BaseRange | NewFragments]
     ) -> typing.Iterator[config_fragments.ConfigFragment]:
         for step in steps:
@@ -121,30 +124,32 @@
 
 
 def update_between(base: RoutesCopy, newer: RoutesCopy) -> RoutesUpdate:
-    """Return the update that leads from one copy to a newer one.
+    """Return the update from one copy to a newer one.
 
-    Its size grows with what changed: parts that the base has, wherever
-    they stand there, are named by their places.
+    The size of the update grows with the number of changed fragments. A
+    fragment that the base has at any position is named by its position.
     """
-    places = {part: place for place, part in enumerate(base.parts)}
+    positions = {
+        fragment: position for position, fragment in enumerate(base.parts)
+    }
     steps: list[BaseRange | NewFragments] = []
     first = count = 0
     array = ''
     texts: list[str] = []
-    for part in newer.parts:
-        place = places.get(part)
-        if texts and (place is not None or part.array != array):
+    for fragment in newer.parts:
+        position = positions.get(fragment)
+        if texts and (position is not None or fragment.array != array):
             steps.append(NewFragments(array=array, texts=tuple(texts)))
             texts = []
-        if count and place != first + count:
+        if count and position != first + count:
             steps.append(BaseRange(first=first, count=count))
             count = 0
-        if place is None:
-            array = part.array
-            texts.append(part.text)
+        if position is None:
+            array = fragment.array
+            texts.append(fragment.text)
             continue
         if not count:
-            first = place
+            first = position
         count += 1
     if texts:
         steps.append(NewFragments(array=array, texts=tuple(texts)))
--- a/limpetroute/routing/runner_info.py
+++ b/limpetroute/routing/runner_info.py
@@ -1,4 +1,4 @@
-"""What a runner announces of itself."""
+"""Announced properties of a runner."""
 
 import dataclasses
 import json
@@ -9,27 +9,27 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunnerInfo:
-    """What a runner announces of itself.
+    """Announced properties of a runner.
 
     Parameters
     ----------
     runner_id : str
-        Identity of the runner; it may start again under the same.
+        Identity of the runner, which it keeps when it restarts.
     service : str
-        The service it belongs to.
+        The service that the runner belongs to.
     address : str
-        ``IP:PORT``; taken over by others once the runner is gone.
+        ``IP:PORT``; may be reused by another runner once this one is gone.
     zone : str
         Its availability zone.
     slots : int
-        Requests that it works on at once.
+        Requests that it processes at once.
     ready : bool
-        Whether it takes new requests.
+        Whether it accepts new requests.
     stage : Stage or None
-        Its part, where it runs a model.
+        Prefill or decode if it runs a model, otherwise None.
     started_ms : int
-        Unix time of its start in milliseconds; 0 if not told. With
-        another one it holds and knows nothing of before.
+        Unix time of its start in milliseconds; 0 if unknown. A runner with
+        a new start time has lost its requests and its cached state.
     """
 
     runner_id: str
@@ -59,7 +59,10 @@
         return int(self.address.rpartition(':')[2])
 
     def detail(self) -> str:
-        """Return what the control log keeps beside id and address."""
+        """Return the fields for the control log, as JSON.
+
+        The log stores the id, the address and the state separately.
+        """
         body = {
             'service': self.service,
             'zone': self.zone,
@@ -73,7 +76,7 @@
 def from_detail(
     *, runner_id: str, address: str, ready: bool, detail: str
 ) -> RunnerInfo:
-    """Return a runner from what `RunnerInfo.detail` gave."""
+    """Return a runner from the JSON text of `RunnerInfo.detail`."""
     body = json.loads(detail)
     stage = body['stage']
     return RunnerInfo(
--- a/limpetroute/routing/runner_limits.py
+++ b/limpetroute/routing/runner_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a fleet's runners, kept where they are spent."""
+"""Rate limits of a fleet's runners, enforced at the leader."""
 
 import collections
 import dataclasses
@@ -7,25 +7,25 @@
 from limpetroute.routing import rate_limit
 from limpetroute.routing import runner_incarnation
 
-# Runners that are kept; the one that told nothing for longest goes first.
+# The runner whose last report is oldest is removed first.
 MAX_RUNNERS = 4000
-# A host that is refused comes back by then at the latest.
-LONGEST_WAIT_S = 0.5
-SHORTEST_WAIT_S = 0.02
+# Longest and shortest time after which a refused host retries.
+MAX_RETRY_WAIT_S = 0.5
+MIN_RETRY_WAIT_S = 0.02
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LimitReport:
-    """What a runner named, as a host heard it.
+    """Rate limit from a runner's response, as a host received it.
 
     Parameters
     ----------
     incarnation : RunnerIncarnation
-        The runner.
+        The runner and its start.
     limit_per_s : float or None
-        Requests a second; None once it names no limit.
+        Requests per second; None if the response named no limit.
     received_s : float
-        When its answer came, by a steady clock.
+        When the host received the response, by a monotonic clock.
     """
 
     incarnation: runner_incarnation.RunnerIncarnation
@@ -34,23 +34,24 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Limited:
+class _LimitedRunner:
     report: LimitReport
     bucket: rate_limit.TokenBucket | None
-    turn_s: float = 0.0
+    last_retry_s: float = 0.0
 
 
 class RunnerLimits:
-    """Limits of a fleet's runners, kept where they are spent.
+    """Rate limits of a fleet's runners, enforced at the leader.
 
-    Pattern: a runner in need takes a few requests a second from all hosts
-    together, and callers are spread unevenly over hosts. Even parts would
-    leave most of the limit unused at hosts with few callers; so one host
-    gives all requests out, each to the host that has one to send.
+    An overloaded runner accepts a few requests per second from all hosts
+    together, and callers are spread unevenly over the hosts. If each host
+    got an equal part, hosts with few callers would leave most of the limit
+    unused. The leader therefore grants the requests one by one, each to a
+    host that has a request to send.
     """
 
     def __init__(self) -> None:
-        self._limited: collections.OrderedDict[str, _Limited] = (
+        self._limited: collections.OrderedDict[str, _LimitedRunner] = (
             collections.OrderedDict()
         )
 
@@ -58,7 +59,7 @@
         return f'{type(self).__name__}(runners={len(self._limited)!r})'
 
     def note_limit(self, report: LimitReport, now_s: float) -> None:
-        """Take what a runner named, unless something newer is known."""
+        """Apply a reported limit, unless a newer report is known."""
         runner_id = report.incarnation.runner_id
         known = self._limited.get(runner_id)
         if known is None or known.report.incarnation != report.incarnation:
@@ -66,7 +67,7 @@
                 report.incarnation, known.report.incarnation
             ):
                 return
-            known = _Limited(report=report, bucket=None)
+            known = _LimitedRunner(report=report, bucket=None)
             self._limited[runner_id] = known
         elif report.received_s < known.report.received_s:
             return
@@ -87,7 +88,7 @@
             self._limited.popitem(last=False)
 
     def limit_per_s(self, runner_id: str) -> float | None:
-        """Return the limit that a runner named last."""
+        """Return the last reported limit of a runner, or None."""
         known = self._limited.get(runner_id)
         return known.report.limit_per_s if known is not None else None
 
@@ -99,10 +100,14 @@
     def exhausted(
         self, runner_ids: typing.Iterable[str], now_s: float
     ) -> set[str]:
-        """Return which runners no request may be sent to now."""
+        """Return the runners whose limit allows no request now."""
         if not self._limited:
             return set()
-        return {one for one in runner_ids if not self.has_token(one, now_s)}
+        return {
+            runner_id
+            for runner_id in runner_ids
+            if not self.has_token(runner_id, now_s)
+        }
 
     def take(self, runner_id: str, now_s: float) -> None:
         """Count a request to a runner."""
@@ -111,22 +116,22 @@
             bucket.take(now_s)
 
     def retry_wait_s(self, runner_id: str, now_s: float) -> float:
-        """Return how long a host that was refused is to wait.
+        """Return how long a refused host must wait before it retries.
 
-        Each gets a turn of its own: told the same time, all hosts would
-        come for the same request.
+        Each host gets a different time. With the same time, all hosts
+        would compete for the same request.
         """
         known = self._limited.get(runner_id)
         if known is None or known.bucket is None:
             return 0.0
         first_s = now_s + known.bucket.wait_s(now_s)
-        known.turn_s = max(
-            first_s, known.turn_s + 1.0 / known.bucket.rate_per_s
+        known.last_retry_s = max(
+            first_s, known.last_retry_s + 1.0 / known.bucket.rate_per_s
         )
-        if known.turn_s - now_s > LONGEST_WAIT_S:
-            known.turn_s = max(first_s, now_s)
-        wait_s = min(known.turn_s - now_s, LONGEST_WAIT_S)
-        return max(wait_s, SHORTEST_WAIT_S)
+        if known.last_retry_s - now_s > MAX_RETRY_WAIT_S:
+            known.last_retry_s = max(first_s, now_s)
+        wait_s = min(known.last_retry_s - now_s, MAX_RETRY_WAIT_S)
+        return max(wait_s, MIN_RETRY_WAIT_S)
 
     def _bucket(self, runner_id: str) -> rate_limit.TokenBucket | None:
         known = self._limited.get(runner_id)
--- a/limpetroute/routing/runner_selector.py
+++ b/limpetroute/routing/runner_selector.py
@@ -1,4 +1,4 @@
-"""Chooses the runners of waiting streams, at one moment."""
+"""Chooses the runners of waiting streams in one scheduling pass."""
 
 import dataclasses
 import math
@@ -13,16 +13,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ChosenRunners:
-    """The runners of one stream.
+    """The runners chosen for one stream.
 
     Parameters
     ----------
     decode_runner : RunnerInfo
-        Writes its answer.
+        Runner that decodes its answer.
     prefill_runner : RunnerInfo or None
-        Reads its prompt; None if the decode runner does.
+        Runner that prefills its prompt; None if the decode runner does.
     ready_s : float
-        When its first event is expected.
+        Expected time of its first event.
     """
 
     decode_runner: runner_info.RunnerInfo
@@ -31,23 +31,24 @@
 
 
 class RunnerSelector:
-    """Chooses the runners of waiting streams, at one moment.
+    """Chooses the runners of waiting streams in one scheduling pass.
 
-    What is found for one stream holds for those behind it: with all
-    prefill runners busy, the rest of the queue is not offered to them.
+    Results are reused for the streams further back in the queue: once all
+    prefill runners are busy, they are not searched again in this pass.
 
     Parameters
     ----------
     prefill : PrefillQueue
-        When runners may read.
+        Expected prefill times of the runners.
     decode_placement : DecodePlacement
-        Which decode runner has room.
+        Finds the decode runner with enough free memory.
     fleet : Fleet
-        The runners that are used now.
+        The runners in use.
     freed : sequence of RunnerInfo
-        Decode runners that a stream has left, most free first.
+        Decode runners at which a stream has ended since the last pass, the
+        one with the most free memory first.
     now_s : float
-        The moment.
+        Time of the pass.
     """
 
     def __init__(
@@ -73,37 +74,42 @@
 
     @property
     def freed_tokens(self) -> float:
-        """Most memory that is free at a runner that a stream has left."""
+        """Most free memory of any runner in `freed`, in tokens."""
         return max(map(self._free_tokens, self._freed), default=-math.inf)
 
     def choose(
-        self, one: waiting_stream.WaitingStream
+        self, stream: waiting_stream.WaitingStream
     ) -> ChosenRunners | None:
-        """Return the runners that a stream gets, or None.
+        """Return the runners for a stream, or None if it must wait.
 
-        They are expected to be taken before the next stream is asked for.
+        The caller must reserve the runners before it chooses those of the
+        next stream.
         """
-        ask = one.ask
+        request = stream.ask
         prefill_runner = (
-            self._first_free_prefill_runner() if ask.reads_prompt else None
+            self._first_free_prefill_runner() if request.reads_prompt else None
         )
         if prefill_runner is not None and self._prefill_runner_is_busy:
-            # A decode runner with room that reads the prompt itself is
-            # slower, but may be done sooner than the queue.
+            # An idle decode runner prefills more slowly, but may finish
+            # earlier than the busy prefill runner with its queue.
             if not self._prefill.writers_read_well or not self._idle_runners:
                 return None
-            ready_s = self._prefill.ready_s(ask, None, self._now_s)
+            ready_s = self._prefill.ready_s(request, None, self._now_s)
             if ready_s >= self._prefill.ready_s(
-                ask, prefill_runner, self._now_s
+                request, prefill_runner, self._now_s
             ):
                 return None
             prefill_runner = None
         else:
-            ready_s = self._prefill.ready_s(ask, prefill_runner, self._now_s)
+            ready_s = self._prefill.ready_s(
+                request, prefill_runner, self._now_s
+            )
         if prefill_runner is None:
-            decode_runner = self._self_prefilling_decode_runner(one, ready_s)
+            decode_runner = self._self_prefilling_decode_runner(
+                stream, ready_s
+            )
         else:
-            decode_runner = self._best_decode_runner(one, ready_s)
+            decode_runner = self._best_decode_runner(stream, ready_s)
         if decode_runner is None:
             return None
         if prefill_runner is None:
@@ -131,39 +137,39 @@
         return self._prefill_runner
 
     def _best_decode_runner(
-        self, one: waiting_stream.WaitingStream, ready_s: float
+        self, stream: waiting_stream.WaitingStream, ready_s: float
     ) -> runner_info.RunnerInfo | None:
-        if one.fits_nowhere:
+        if stream.fits_nowhere:
             return self._decode_placement.best_of(
-                one.ask, self._freed, ready_s, self._now_s
+                stream.ask, self._freed, ready_s, self._now_s
             )
-        found = self._decode_placement.best(one.ask, ready_s, self._now_s)
-        one.fits_nowhere = found is None
+        found = self._decode_placement.best(stream.ask, ready_s, self._now_s)
+        stream.fits_nowhere = found is None
         return found
 
     def _self_prefilling_decode_runner(
-        self, one: waiting_stream.WaitingStream, ready_s: float
+        self, stream: waiting_stream.WaitingStream, ready_s: float
     ) -> runner_info.RunnerInfo | None:
-        """Return the best decode runner that may read a prompt now."""
+        """Return the best decode runner to prefill the prompt itself."""
         idle = self._idle_runners
-        if self._prefill.is_long(one.ask):
-            on_time = one.is_on_time(ready_s)
+        if self._prefill.is_long(stream.ask):
+            on_time = stream.is_on_time(ready_s)
             idle = [
                 runner
                 for runner in idle
                 if self._prefill.may_read_long(runner, on_time=on_time)
             ]
         return self._decode_placement.best_of(
-            one.ask, idle, ready_s, self._now_s
+            stream.ask, idle, ready_s, self._now_s
         )
 
     @property
     def _idle_runners(self) -> list[runner_info.RunnerInfo]:
-        """Decode runners that may read a prompt now, most free first."""
+        """Decode runners that may prefill now, most free memory first."""
         if self._idle is None:
             self._idle = [
-                one
-                for _, one in self._fleet.decoders.most_free()
-                if self._prefill.is_idle(one, self._now_s)
+                runner
+                for _, runner in self._fleet.decoders.most_free()
+                if self._prefill.is_idle(runner, self._now_s)
             ]
         return self._idle
--- a/limpetroute/routing/send_history.py
+++ b/limpetroute/routing/send_history.py
@@ -1,4 +1,4 @@
-"""The sends of one request so far."""
+"""Sends of one request so far."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
 
 class SendHistory:
-    """The sends of one request so far, and what may follow them.
+    """Sends of one request so far, which decide its next step.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
 
     @property
     def allows_another_send(self) -> bool:
-        """Whether the route allows a send after one that runs now."""
+        """Whether the route allows another send after the current one."""
         return self.sends + 1 < self._route.max_sends
 
     def decide(
@@ -39,21 +39,22 @@
         remaining_s: float,
         can_retry: typing.Callable[[], bool],
     ) -> next_step.Step:
-        """Count a send and return what follows it.
+        """Count a send and return the step that follows it.
 
         Parameters
         ----------
         result : SendResult
-            How it ended.
+            How the send ended.
         remaining_s : float
             Time left for the answer.
         can_retry : callable
-            Asked only where another send is allowed: whether there is a
-            runner and, after a first send, budget for one.
+            Returns whether there is another runner and, if the request
+            reached a runner before, a token of the retry budget. It is
+            called only if the route allows another send.
         """
         if result is not send_result.SendResult.NOT_SENT:
             self.sends += 1
-        situation = next_step.RetryContext(
+        context = next_step.RetryContext(
             repeatable=self._route.repeatable,
             result=result,
             ran_before=self._ran_before,
@@ -61,17 +62,18 @@
             max_sends=self._route.max_sends,
             remaining_s=remaining_s,
         )
-        step = next_step.next_step(situation)
+        step = next_step.next_step(context)
         if step is next_step.Step.RETRY and not can_retry():
-            step = next_step.without_retry(situation)
+            step = next_step.without_retry(context)
         if not result.is_known_not_run:
             self._ran_before = True
         return step
 
     def final_step(self, step: next_step.Step) -> next_step.Step:
-        """Return a final step that promises no more than is known.
+        """Return the step that ends a request, given the earlier sends.
 
-        A request that may have run is never said not to have.
+        `REFUSE` becomes `FAIL` if the request may have run, as the caller
+        must not be told that it did not run.
         """
         if step is next_step.Step.REFUSE and self._ran_before:
             return next_step.Step.FAIL
--- a/limpetroute/routing/send_result.py
+++ b/limpetroute/routing/send_result.py
@@ -6,10 +6,10 @@
 class SendResult(enum.StrEnum):
     """How one send to a runner ended.
 
-    After ``NOT_SENT``, ``REFUSED`` and ``MISDIRECTED`` alone it is
-    certain that the request did not run and will not: no byte left this
-    host, or the runner itself says so. ``MISDIRECTED`` says besides
-    that the runner that was meant is gone from its address.
+    Only after ``NOT_SENT``, ``REFUSED`` and ``MISDIRECTED`` is it certain
+    that the request did not run and will not run: no byte left this host,
+    or the runner reported it. ``MISDIRECTED`` also means that the intended
+    runner is no longer at its address.
     """
 
     NOT_SENT = 'not_sent'
@@ -22,7 +22,7 @@
 
     @property
     def is_known_not_run(self) -> bool:
-        """Whether the request did not run and will not."""
+        """Whether the request certainly did not run and will not run."""
         return self in (
             SendResult.NOT_SENT,
             SendResult.REFUSED,
--- a/limpetroute/routing/service.py
+++ b/limpetroute/routing/service.py
@@ -1,24 +1,24 @@
-"""A service: runners that can stand in for each other."""
+"""Services and the engines that their runners have."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Engine:
-    """What a service's runners are, where they run a model.
+    """Properties of the runners of a service that runs a model.
 
     Parameters
     ----------
     slots : int
-        Requests that a runner works on at once.
+        Requests that a runner processes at once.
     memory_tokens : int
-        Tokens whose KV cache fits a runner's memory.
+        Tokens whose KV cache fits into the memory of a runner.
     tokens_per_event : int
-        Tokens that one event of a stream carries.
+        Tokens in one event of a stream.
     prefill_result_ttl_s : float
-        Time for which a prefill's result is kept.
+        Time for which a runner keeps the result of a prefill.
     stage_change_s : float
-        Time that a runner is away while it changes its stage.
+        Time for which a runner is unavailable while it changes its stage.
     """
 
     slots: int
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """A service: runners that can stand in for each other.
+    """A service, whose runners can replace each other.
 
     Parameters
     ----------
@@ -39,9 +39,9 @@
     health_path : str
         Path of its runners' health check.
     max_connections : int
-        Connections that one runner takes from all callers.
+        Connections that one runner accepts from all callers together.
     engine : Engine or None
-        None for a plain service.
+        Properties of its runners; None for a plain service.
     """
 
     name: str
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -87,7 +87,7 @@
             prompt_size=self._prompt_size,
         )
         self._outliers = outlier_detector.OutlierDetector(
-            uses=self._reservations.uses
+            stream_count=self._reservations.uses
         )
         self._fleet = fleet_module.Fleet(
             reserved=self._reservations,
--- a/tests/routing/test_decode_placement.py
+++ b/tests/routing/test_decode_placement.py
@@ -24,7 +24,7 @@
         self.rng = random.Random(seed)
         self.reserved = reservations.Reservations(engine=builders.ENGINE)
         self.outliers = outlier_detector.OutlierDetector(
-            uses=self.reserved.uses
+            stream_count=self.reserved.uses
         )
         self.fleet = fleet.Fleet(
             reserved=self.reserved,
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -16,7 +16,7 @@
     def __init__(self, decoders, readers=4):
         self.reserved = reservations.Reservations(engine=builders.ENGINE)
         self.outliers = outlier_detector.OutlierDetector(
-            uses=self.reserved.uses
+            stream_count=self.reserved.uses
         )
         self.fleet = fleet_module.Fleet(
             reserved=self.reserved,
