--- a/limpetroute/routing/config_fragments.py
+++ b/limpetroute/routing/config_fragments.py
@@ -17,7 +17,7 @@
         Key of the top-level array whose element this is; empty for the
         text between elements.
     text : str
-        Text of the fragment, including the comma after an element.
+        The text, with the comma that follows an element.
     """
 
     array: str
@@ -25,7 +25,7 @@
 
     @property
     def element(self) -> str:
-        """Text of the element without spaces and comma around it."""
+        """The element alone, without a comma."""
         return self.text.strip().removesuffix(',').rstrip()
 
 
@@ -33,8 +33,8 @@
     """Split a document into fragments whose texts add up to the document.
 
     Each element of a top-level array is a fragment of its own. A document
-    that is not a JSON object becomes a single fragment. So does an object
-    with a repeated key, as parsers differ on which of the values counts.
+    that is not a JSON object, or has one key twice, is one fragment as a
+    whole: parsers differ on which of the two values counts.
     """
     try:
         fragments = tuple(_Splitter(text).run())
@@ -61,7 +61,7 @@
         self._consume('}')
         if self._peek():
             raise ValueError('unexpected text after the object')
-        self._end_fragment('', len(self._text))
+        self._cut_off('', len(self._text))
         return self._fragments
 
     def _read_member(self) -> None:
@@ -78,7 +78,7 @@
 
     def _read_array(self, key: str) -> None:
         self._consume('[')
-        self._end_fragment('', self._offset)
+        self._cut_off('', self._offset)
         while self._peek() != ']':
             _, self._offset = _DECODER.raw_decode(self._text, self._offset)
             if self._peek() == ',':
@@ -87,10 +87,10 @@
                     raise ValueError('no element after a comma')
             elif self._peek() != ']':
                 raise ValueError('no comma between two elements')
-            self._end_fragment(key, self._offset)
+            self._cut_off(key, self._offset)
         self._offset += 1
 
-    def _end_fragment(self, array: str, end: int) -> None:
+    def _cut_off(self, array: str, end: int) -> None:
         self._fragments.append(
             ConfigFragment(array, self._text[self._fragment_start : end])
         )
--- a/tests/routing/test_config_fragments.py
+++ b/tests/routing/test_config_fragments.py
@@ -1,4 +1,4 @@
-"""Documents are cut into parts and put together again."""
+"""Splitting of documents into fragments."""
 
 import json
 
@@ -22,34 +22,40 @@
 @hypothesis.given(
     document=DOCUMENTS, indent=st.sampled_from([None, 1]), ascii_=st.booleans()
 )
-def test_the_parts_are_the_document(document, indent, ascii_):
+def test_the_fragments_add_up_to_the_document(document, indent, ascii_):
     text = json.dumps(document, indent=indent, ensure_ascii=ascii_)
-    parts = config_fragments.split(text)
-    assert ''.join(part.text for part in parts) == text
+    fragments = config_fragments.split(text)
+    assert ''.join(fragment.text for fragment in fragments) == text
     elements = {}
-    for part in parts:
-        if part.array:
-            elements.setdefault(part.array, []).append(
-                json.loads(part.element)
+    for fragment in fragments:
+        if fragment.array:
+            elements.setdefault(fragment.array, []).append(
+                json.loads(fragment.element)
             )
     for key, found in elements.items():
         assert document[key] == found
 
 
 @hypothesis.given(text=st.text(alphabet='{}[],:"a \\1', max_size=20))
-def test_any_text_can_be_cut(text):
-    assert ''.join(part.text for part in config_fragments.split(text)) == text
+def test_any_text_can_be_split(text):
+    assert (
+        ''.join(fragment.text for fragment in config_fragments.split(text))
+        == text
+    )
 
 
-def test_an_element_is_a_part():
-    parts = config_fragments.split('{"v":1,"a":[{"x":[1,2]}, "b"],"c":{}}')
-    assert parts == (
+def test_an_element_is_a_fragment():
+    fragments = config_fragments.split('{"v":1,"a":[{"x":[1,2]}, "b"],"c":{}}')
+    assert fragments == (
         ('', '{"v":1,"a":['),
         ('a', '{"x":[1,2]}, '),
         ('a', '"b"'),
         ('', '],"c":{}}'),
     )
-    assert [part.element for part in parts[1:3]] == ['{"x":[1,2]}', '"b"']
+    assert [fragment.element for fragment in fragments[1:3]] == [
+        '{"x":[1,2]}',
+        '"b"',
+    ]
 
 
 @pytest.mark.parametrize(
@@ -65,5 +71,5 @@
         '{"a":' + '[' * 100_000,
     ],
 )
-def test_what_is_no_plain_object_is_one_part(text):
+def test_any_other_document_is_one_fragment(text):
     assert config_fragments.split(text) == (('', text),)
--- a/tests/routing/test_fingerprint.py
+++ b/tests/routing/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two attempts of callers the same request."""
+"""Fingerprints identify repeated attempts at the same request."""
 
 import dataclasses
 
@@ -18,7 +18,7 @@
         return fingerprint.fingerprint(**dataclasses.asdict(self))
 
 
-def test_the_same_parts_are_the_same_request():
+def test_equal_parts_have_equal_fingerprints():
     assert Parts().fingerprint() == Parts().fingerprint()
 
 
@@ -33,5 +33,5 @@
         Parts(caller='Token ', body=b'kprompt'),
     ],
 )
-def test_another_part_is_another_request(parts):
+def test_different_parts_have_different_fingerprints(parts):
     assert parts.fingerprint() != Parts().fingerprint()
--- a/tests/routing/test_next_step.py
+++ b/tests/routing/test_next_step.py
@@ -1,8 +1,8 @@
-"""What may be sent again, played against an oracle that counts runs.
+"""Retry decisions, checked against an oracle that counts runs.
 
-A user would see a release confirmed twice, or be told "not run" for one
-that ran. The runner below says what truly happened at each send; the
-table only sees the result, as a router does.
+A wrong decision would run a request twice, or tell the caller that a
+request did not run although it did. The simulated runner decides whether
+the request ran in each send; the code under test sees only the result.
 """
 
 import hypothesis
@@ -13,7 +13,7 @@
 from limpetroute.routing import send_result
 
 Result = send_result.SendResult
-# What truly may have happened for each result that a router sees.
+# Whether the request may have run, for each result that a router sees.
 MAY_HAVE_RUN = {
     Result.NOT_SENT: (False,),
     Result.REFUSED: (False,),
@@ -41,11 +41,11 @@
     runs = 0
     ran_before = False
     reached = 0
-    for result, coin in sends:
-        truths = MAY_HAVE_RUN[result]
-        runs += truths[coin % len(truths)]
+    for result, choice in sends:
+        outcomes = MAY_HAVE_RUN[result]
+        runs += outcomes[choice % len(outcomes)]
         reached += result is not Result.NOT_SENT
-        now = next_step.RetryContext(
+        context = next_step.RetryContext(
             repeatable=repeatable,
             result=result,
             ran_before=ran_before,
@@ -53,12 +53,12 @@
             max_sends=max_sends,
             remaining_s=remaining_s,
         )
-        step = next_step.next_step(now)
+        step = next_step.next_step(context)
         ran_before = ran_before or not result.is_known_not_run
         assert reached <= max_sends
         if not repeatable:
             assert runs <= 1
-        for ending in (step, next_step.without_retry(now)):
+        for ending in (step, next_step.without_retry(context)):
             if ending is next_step.Step.REFUSE:
                 assert not runs
         if step is not next_step.Step.RETRY:
@@ -79,8 +79,8 @@
         (Result.TIMED_OUT, False, next_step.Step.EXPIRE),
     ],
 )
-def test_the_table(result, repeatable, step):
-    now = next_step.RetryContext(
+def test_step_for_each_result(result, repeatable, step):
+    context = next_step.RetryContext(
         repeatable=repeatable,
         result=result,
         ran_before=False,
@@ -88,4 +88,4 @@
         max_sends=2,
         remaining_s=1.0,
     )
-    assert next_step.next_step(now) is step
+    assert next_step.next_step(context) is step
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that crashes runners, among others that only were there."""
+"""Quarantine of a request that crashes runners, beside harmless ones."""
 
 import json
 import random
@@ -37,14 +37,14 @@
     assert table.requests == ('bad',)
 
 
-def test_one_crash_told_by_many_hosts_counts_once():
+def test_one_crash_reported_by_many_hosts_counts_once():
     table = quarantine.Quarantine()
     for _ in range(5):
         _crash(table, 1, 'good')
     assert 'good' not in table
 
 
-def test_another_start_of_a_runner_is_another_crash():
+def test_crashes_of_a_restarted_runner_count_separately():
     table = quarantine.Quarantine()
     for started_ms in (1, 2, 3):
         incarnation = runner_incarnation.RunnerIncarnation(
@@ -55,23 +55,23 @@
     assert 'bad' in table
 
 
-def test_streams_that_were_written_are_not_blamed_beside_a_silent_one():
-    """Moved on from crash to crash, they met three in a second."""
+def test_streams_with_begun_answers_are_not_blamed_beside_a_silent_one():
+    """Streams that are resumed after a crash can meet three in a second."""
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, 'bad', begun=('good-1', 'good-2'))
     assert table.requests == ('bad',)
 
 
-def test_a_request_that_crashes_runners_in_mid_answer_is_found():
+def test_a_request_that_crashes_runners_during_its_answer_is_quarantined():
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, begun=('bad', f'other-{number}'))
     assert table.requests == ('bad',)
 
 
-def test_a_crash_that_is_explained_is_nobody_elses():
-    """Silent requests that came while a known one was tried again."""
+def test_a_crash_explained_by_a_quarantined_request_blames_no_other():
+    """Other silent requests were present at a trial of a known request."""
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, 'bad')
@@ -80,8 +80,8 @@
     assert table.requests == ('bad',)
 
 
-def test_one_that_is_cleared_leaves_the_blame_to_the_others():
-    """The harmless one was told first and hid the other."""
+def test_clearing_a_request_moves_the_blame_to_the_others():
+    """The harmless request was reported first, which hid the other one."""
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, 'good')
@@ -91,7 +91,7 @@
     assert table.requests == ('bad',)
 
 
-def test_two_that_cannot_be_told_apart_are_both_kept():
+def test_two_indistinguishable_requests_are_both_quarantined():
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, 'one', 'two')
@@ -100,12 +100,12 @@
     assert table.requests == ('two',)
 
 
-def test_a_request_is_tried_again_a_few_times_in_all():
+def test_the_trials_of_a_request_are_limited():
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, 'bad')
-    for taken in range(quarantine.MAX_TRIALS):
-        assert table.take_trial('bad', taken) is Trial.GRANTED
+    for trials in range(quarantine.MAX_TRIALS):
+        assert table.take_trial('bad', trials) is Trial.GRANTED
     assert table.take_trial('bad', quarantine.MAX_TRIALS) is Trial.DENIED
     table.clear('bad')
     assert table.take_trial('bad', 0) is Trial.RELEASED
@@ -120,7 +120,7 @@
     assert table.take_trial('bad', 0) is Trial.DENIED
 
 
-def test_many_distinct_requests_take_a_bounded_place():
+def test_many_distinct_requests_take_bounded_memory():
     table = quarantine.Quarantine()
     for request in range(2 * quarantine.MAX_QUARANTINED_REQUESTS):
         for crash in range(3):
@@ -129,7 +129,7 @@
         _crash(table, 0, f'good-{number}')
     body = table.dump()
     assert len(table.requests) == quarantine.MAX_QUARANTINED_REQUESTS
-    # The one that was found last is there, the first are not.
+    # The last quarantined request is kept, the first ones are removed.
     assert f'bad-{2 * quarantine.MAX_QUARANTINED_REQUESTS - 1}' in table
     assert 'bad-0' not in table
     assert len(body['crashes']) == quarantine.MAX_STORED_CRASHES
@@ -137,21 +137,21 @@
     assert most == quarantine.MAX_SUSPECTS_PER_CRASH
 
 
-def test_a_table_is_the_same_after_a_snapshot():
+def test_a_snapshot_restores_the_same_state():
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, 'bad', begun=('good',))
     table.take_trial('bad', 0)
     _crash(table, 9, 'third')
-    again = quarantine.Quarantine()
-    again.load(json.loads(json.dumps(table.dump())))
-    assert again.dump() == table.dump()
-    assert again.trial_count('bad') == 1
+    restored = quarantine.Quarantine()
+    restored.load(json.loads(json.dumps(table.dump())))
+    assert restored.dump() == table.dump()
+    assert restored.trial_count('bad') == 1
 
 
 @pytest.mark.parametrize('seed', range(20))
-def test_a_request_among_a_full_runner_is_found(seed):
-    """Twelve at each runner; those that lose their runner move on."""
+def test_a_request_at_a_full_runner_is_quarantined(seed):
+    """Each runner has 12 requests; some move to the next after a crash."""
     rng = random.Random(seed)
     table = quarantine.Quarantine()
     moved = []
@@ -165,7 +165,7 @@
     assert 'bad' in table
     assert number == 2
     for one in set(table.requests) - {'bad'}:
-        # None that was served on the way is kept for good.
+        # A harmless request can still be cleared by a trial.
         assert table.take_trial(one, 0) is Trial.GRANTED
 
 
@@ -179,8 +179,8 @@
         max_size=40,
     )
 )
-def test_a_request_that_never_answers_is_quarantined_by_its_third(events):
-    """Whoever else was there, and whatever they are cleared of."""
+def test_a_silent_request_is_quarantined_by_its_third_crash(events):
+    """It holds whichever other requests were present or were cleared."""
     table = quarantine.Quarantine()
     crashes = set()
     for number, other, cleared in events:
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,8 +1,7 @@
-"""Second sends stay bounded over all hosts.
+"""The retries of all hosts together stay bounded.
 
-Runners fail and every host sends each request twice; without a shared
-bound the load doubles where it is least wanted, and callers of healthy
-runners wait too.
+If runners fail and every host retries each request, the load doubles on
+the remaining runners, and callers of healthy runners wait as well.
 """
 
 import random
@@ -26,22 +25,22 @@
     rng = random.Random(1)
     budgets = _fleet()
     requests = []
-    extras = []
+    retries = []
     for step in range(4000):
         now_s = step * 0.02
-        # Load comes unevenly, and everything fails.
+        # The load is uneven over the hosts, and every request fails.
         host = min(rng.randrange(HOSTS), rng.randrange(HOSTS))
         budgets[host].note_request(now_s)
         requests.append(now_s)
         if budgets[host].take(now_s, HOSTS):
-            extras.append(now_s)
-    for now_s in extras:
-        window = [one for one in extras if now_s - WINDOW_S <= one <= now_s]
+            retries.append(now_s)
+    for now_s in retries:
+        window = [one for one in retries if now_s - WINDOW_S <= one <= now_s]
         sent = [one for one in requests if now_s - WINDOW_S <= one <= now_s]
         assert len(window) <= RATIO * len(sent) + SLACK
 
 
-def test_a_host_that_takes_itself_for_alone_keeps_a_reserve():
+def test_a_host_that_sees_no_others_uses_half_of_the_slack():
     budget = retry_budget.RetryBudget(
         ratio=RATIO, slack=SLACK, window_s=WINDOW_S
     )
@@ -49,7 +48,7 @@
     assert 0 < taken <= SLACK / 2
 
 
-def test_the_budget_comes_back_with_time():
+def test_the_budget_recovers_after_the_window():
     budget = retry_budget.RetryBudget(ratio=0, slack=4, window_s=1.0)
     assert [budget.take(0.0, 1) for _ in range(3)] == [True, True, False]
     assert budget.take(1.1, 1)
--- a/tests/routing/test_route_plan.py
+++ b/tests/routing/test_route_plan.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ('fields', 'said'),
+    ('fields', 'expected'),
     [
         ({'timeout_s': 0.0}, 'timeout'),
         ({'shares': (route.Share(service='plain', weight=0.0),)}, 'weights'),
@@ -26,17 +26,17 @@
         ({'path_prefix': '/a'}, 'end with /'),
     ],
 )
-def test_a_plan_that_is_not_sound_says_why(fields, said):
+def test_an_invalid_plan_names_its_errors(fields, expected):
     plan = builders.make_plan(builders.make_route(**fields))
-    assert any(said in line for line in plan.problems())
+    assert any(expected in line for line in plan.problems())
 
 
-def test_two_routes_of_one_place_are_not_sound():
+def test_two_routes_with_one_host_and_prefix_are_invalid():
     plan = builders.make_plan(
         builders.make_route(name='one'), builders.make_route(name='two')
     )
     assert any('twice' in line for line in plan.problems())
 
 
-def test_a_sound_plan_says_nothing():
+def test_a_valid_plan_has_no_errors():
     assert not builders.make_plan(builders.make_route()).problems()
--- a/tests/routing/test_routes_copy.py
+++ b/tests/routing/test_routes_copy.py
@@ -1,4 +1,4 @@
-"""Copies of the routing configuration move on by updates."""
+"""Updates between versions of the routing configuration."""
 
 import hashlib
 
@@ -13,31 +13,33 @@
 
 
 def copy(version, texts, array='r'):
-    parts = tuple(
+    fragments = tuple(
         config_fragments.ConfigFragment(array, text) for text in texts
     )
     text = ''.join(texts)
     digest = hashlib.sha256(text.encode()).hexdigest()
-    return routes_copy.RoutesCopy(version=version, digest=digest, parts=parts)
+    return routes_copy.RoutesCopy(
+        version=version, digest=digest, parts=fragments
+    )
 
 
 @hypothesis.given(before=TEXTS, after=TEXTS)
-def test_an_update_leads_to_the_newer_copy(before, after):
+def test_an_update_produces_the_newer_copy(before, after):
     base = copy(1, before)
     newer = copy(2, after)
     assert base.apply(routes_copy.update_between(base, newer)) == newer
 
 
 @hypothesis.given(after=TEXTS)
-def test_a_copy_can_begin_from_nothing(after):
-    nothing = routes_copy.RoutesCopy()
+def test_an_update_without_a_base_applies_to_any_copy(after):
+    empty = routes_copy.RoutesCopy()
     newer = copy(2, after)
-    update = routes_copy.update_between(nothing, newer)
+    update = routes_copy.update_between(empty, newer)
     assert not update.base
     assert copy(1, 'xyz').apply(update) == newer
 
 
-def test_an_update_says_only_what_changed():
+def test_an_update_contains_only_changed_fragments():
     many = [f'{number},' for number in range(10_000)]
     newer = [*many[:500], 'new', *many[500:]]
     update = routes_copy.update_between(copy(1, many), copy(2, newer))
@@ -55,7 +57,7 @@
 
 
 def test_an_update_to_another_document_is_refused():
-    """A host must never work by what nobody acknowledged."""
+    """A host must not use a configuration that was never acknowledged."""
     update = routes_copy.RoutesUpdate(
         version=2,
         digest=copy(2, 'abc').digest,
--- a/tests/routing/test_runner_limits.py
+++ b/tests/routing/test_runner_limits.py
@@ -1,4 +1,4 @@
-"""Hosts with uneven callers share runners that take few requests."""
+"""Hosts with uneven load share the rate limits of runners."""
 
 import heapq
 import random
@@ -23,15 +23,15 @@
     )
 
 
-def _most(times_s):
+def _max_in_window(times_s):
     return max(
-        sum(at_s <= one < at_s + WINDOW_S for one in times_s)
+        sum(at_s <= time_s < at_s + WINDOW_S for time_s in times_s)
         for at_s in times_s
     )
 
 
 class Hosts:
-    """Hosts that ask as often as their callers and waits let them."""
+    """Hosts that ask the leader for each request unless they must wait."""
 
     def __init__(self, rates_per_s, limit_at, seed=1):
         self.rng = random.Random(seed)
@@ -78,20 +78,20 @@
 def test_a_limit_is_used_and_not_exceeded(rates_per_s, limit_per_s, seed):
     hosts = Hosts(rates_per_s, lambda now_s: limit_per_s, seed)
     hosts.run(60.0)
-    assert _most(hosts.sent_s) <= 1.5 * limit_per_s * WINDOW_S + 5
+    assert _max_in_window(hosts.sent_s) <= 1.5 * limit_per_s * WINDOW_S + 5
     assert len(hosts.sent_s) >= 0.8 * 60.0 * limit_per_s
     # No request of a caller costs more than one call to the leader.
     assert hosts.asked <= 60.0 * sum(rates_per_s) * 1.1
 
 
-def test_limits_that_change_each_second_are_kept():
+def test_limits_that_change_each_second_are_respected():
     hosts = Hosts([30.0, 3.0], lambda now_s: 2.0 + 8.0 * (int(now_s) % 2))
     hosts.run(60.0)
-    assert _most(hosts.sent_s) <= 1.5 * 6.0 * WINDOW_S + 5
+    assert _max_in_window(hosts.sent_s) <= 1.5 * 6.0 * WINDOW_S + 5
     assert len(hosts.sent_s) >= 0.8 * 60.0 * 6.0
 
 
-def test_a_host_that_leaves_takes_no_share_with_it():
+def test_the_share_of_a_host_that_leaves_is_used_by_others():
     hosts = Hosts([30.0, 30.0], lambda now_s: 4.0)
     hosts.run(20.0)
     hosts._arrivals = [one for one in hosts._arrivals if one[1] == 1]
@@ -100,14 +100,14 @@
     assert len(hosts.sent_s) >= 0.8 * 20.0 * 4.0
 
 
-def test_a_runner_that_takes_nothing_is_asked_now_and_then():
-    """Never asked, it could not say that it takes requests again."""
+def test_a_runner_with_limit_0_gets_a_request_now_and_then():
+    """Without requests, its responses could not lift the limit."""
     hosts = Hosts([20.0], lambda now_s: 0.0)
     hosts.run(60.0)
     assert 6 <= len(hosts.sent_s) <= 15
 
 
-def test_a_limit_that_is_taken_back_binds_no_more():
+def test_a_lifted_limit_has_no_effect():
     limits = runner_limits.RunnerLimits()
     limits.note_limit(_report(1.0, 10.0), 10.0)
     assert not limits.has_token('r', 10.0)
@@ -116,14 +116,14 @@
     assert limits.retry_wait_s('r', 11.0) == 0.0
 
 
-def test_what_was_heard_before_comes_late_and_changes_nothing():
+def test_an_older_report_that_arrives_late_is_ignored():
     limits = runner_limits.RunnerLimits()
     limits.note_limit(_report(None, 11.0), 11.0)
     limits.note_limit(_report(1.0, 10.0), 11.1)
     assert limits.limit_per_s('r') is None
 
 
-def test_another_life_of_a_runner_has_another_limit():
+def test_each_incarnation_of_a_runner_has_its_own_limit():
     limits = runner_limits.RunnerLimits()
     limits.note_limit(_report(1.0, 10.0, started_ms=1), 10.0)
     limits.note_limit(_report(5.0, 9.0, started_ms=2), 10.5)
@@ -132,7 +132,7 @@
     assert limits.limit_per_s('r') == 5.0
 
 
-def test_many_runners_take_a_bounded_place():
+def test_many_runners_take_bounded_memory():
     limits = runner_limits.RunnerLimits()
     for number in range(runner_limits.MAX_RUNNERS + 10):
         limits.note_limit(_report(1.0, name=f'r{number}'), 0.0)
@@ -189,11 +189,11 @@
 
 @pytest.mark.parametrize('name', ['d1', 'p1'])
 def test_the_leader_places_streams_within_a_limit(name):
-    """All of a waiting queue would go to the limited runner in one pass."""
+    """Otherwise one pass could place the whole queue at one runner."""
     limits = runner_limits.RunnerLimits()
     limits.note_limit(_report(2.0, name=name, started_ms=0), 0.0)
     streams = Streams(limits)
     streams.run(20.0, 20.0)
-    assert _most(streams.times_s(name)) <= 1.5 * 2.0 * WINDOW_S + 5
+    assert _max_in_window(streams.times_s(name)) <= 1.5 * 2.0 * WINDOW_S + 5
     assert len(streams.times_s(name)) >= 0.5 * 20.0 * 2.0
     assert len(streams.placed) >= 0.95 * streams.count
