--- a/limpetroute/border/addresses.py
+++ b/limpetroute/border/addresses.py
@@ -1,4 +1,4 @@
-"""IP addresses and the URLs of hosts, which are reached by number."""
+"""IP addresses, and URLs whose host is an IP address."""
 
 import ipaddress
 import typing
@@ -24,10 +24,10 @@
     host, _, port = text.rpartition(':')
     try:
         ipaddress.ip_address(host.strip('[]'))
-        known = 0 <= int(port) <= MAX_PORT
+        in_range = 0 <= int(port) <= MAX_PORT
     except ValueError as exc:
         raise ValueError('allowed is IP:PORT') from exc
-    if not known:
+    if not in_range:
         raise ValueError('allowed is IP:PORT')
     return text
 
--- a/limpetroute/border/announcement.py
+++ b/limpetroute/border/announcement.py
@@ -1,4 +1,4 @@
-"""What a runner posts with each heartbeat."""
+"""Body of a runner's heartbeat."""
 
 import typing
 
@@ -24,7 +24,7 @@
 
 
 class CacheEventBody(strict_model.StrictModel):
-    """Prefix blocks stored or evicted; numbers may have gaps."""
+    """Prefix blocks stored or evicted; sequence numbers may have gaps."""
 
     sequence: int
     stored: list[int] = []
@@ -32,7 +32,7 @@
 
 
 class AnnouncementBody(strict_model.StrictModel):
-    """A runner's announcement, which is its heartbeat too."""
+    """A runner's announcement, which also serves as its heartbeat."""
 
     runner_id: str = pydantic.Field(min_length=1, max_length=200)
     incarnation: int
@@ -50,7 +50,7 @@
     cache_events: list[CacheEventBody] = []
 
     def facts(self) -> runner_facts.RunnerFacts:
-        """Return what the decisions need of it."""
+        """Return the properties of the runner for the scheduling policy."""
         return runner_facts.RunnerFacts(
             runner_id=self.runner_id,
             incarnation=self.incarnation,
@@ -65,7 +65,7 @@
         )
 
     def load_report(self, now_s: float) -> load_report.LoadReport | None:
-        """Return the report on the clock of this process."""
+        """Return the load report, with its time on this process's clock."""
         if self.report is None:
             return None
         return load_report.LoadReport(
--- a/limpetroute/border/caller_body.py
+++ b/limpetroute/border/caller_body.py
@@ -1,4 +1,4 @@
-"""Reads a caller's JSON body once: its model and its digest."""
+"""Parses a caller's JSON body and computes its digest."""
 
 import hashlib
 import json
@@ -13,16 +13,16 @@
 
 
 def read(model: type[_Model], data: bytes) -> tuple[_Model, str]:
-    """Validate a body and name its content.
+    """Validate a body and compute the digest of its content.
 
-    The digest is taken of the parsed body with its keys sorted, so that
-    a library which orders keys or spaces otherwise when it repeats a
-    request still sends the same body.
+    The digest is computed from the parsed body with sorted keys. A client
+    library that uses another order of keys or other spaces when it repeats
+    a request therefore still sends the same body.
 
     Parameters
     ----------
     model : type
-        Model at the border.
+        Model that the body is validated against.
     data : bytes
         The body as received.
 
@@ -34,8 +34,8 @@
     Raises
     ------
     InvalidInputError
-        If it is not UTF-8 or JSON, is nested too deeply, or does not
-        fit the model.
+        If the body is not UTF-8 or JSON, is nested too deeply, or does
+        not match the model.
     """
     try:
         content = pydantic_core.from_json(data, allow_inf_nan=False)
@@ -50,7 +50,7 @@
 
 
 def digest(content: typing.Any) -> str:
-    """Return the digest of parsed JSON."""
+    """Return the SHA-256 digest of parsed JSON."""
     text = json.dumps(
         content, sort_keys=True, separators=(',', ':'), ensure_ascii=True
     )
--- a/limpetroute/border/claim_bodies.py
+++ b/limpetroute/border/claim_bodies.py
@@ -1,4 +1,4 @@
-"""What entry hosts post about once-only claims."""
+"""Request bodies of claims, which ensure that a request runs once."""
 
 import typing
 
--- a/limpetroute/border/completion_body.py
+++ b/limpetroute/border/completion_body.py
@@ -1,4 +1,4 @@
-"""Bodies of the OpenAI-shaped completion calls."""
+"""Request bodies of the OpenAI-compatible completion calls."""
 
 import typing
 
@@ -8,8 +8,8 @@
 
 
 class _CallerModel(pydantic.BaseModel):
-    # Callers' libraries send fields that mean nothing to the router;
-    # those of the body itself are passed on to the engine.
+    # Client libraries send fields that the router does not use. It ignores
+    # them in nested objects and passes those of the body to the engine.
     model_config = pydantic.ConfigDict(extra='ignore', frozen=True)
 
 
@@ -51,13 +51,13 @@
 
     @property
     def include_usage(self) -> bool:
-        """Whether a streamed answer is to end with its usage."""
+        """Whether a stream ends with an event that reports token usage."""
         options = self.stream_options
         return options is not None and options.include_usage
 
     @property
     def options(self) -> dict[str, typing.Any]:
-        """Fields for the engine, such as the sampling temperature."""
+        """Fields passed to the engine, such as the sampling temperature."""
         extra = self.model_extra or {}
         return {
             name: value
@@ -89,7 +89,7 @@
         return ''.join(self.prompt)
 
     def token_limit(self) -> int:
-        """Return the most tokens of the answer."""
+        """Return the maximum number of tokens of the answer."""
         return self.max_tokens or 16
 
 
@@ -108,5 +108,5 @@
         return ''.join(parts) + 'assistant:'
 
     def token_limit(self) -> int:
-        """Return the most tokens of the answer."""
+        """Return the maximum number of tokens of the answer."""
         return self.max_completion_tokens or self.max_tokens or 256
--- a/limpetroute/border/control_settings.py
+++ b/limpetroute/border/control_settings.py
@@ -17,49 +17,52 @@
     Parameters
     ----------
     peer_urls : list of str
-        Address of each other control host. All control hosts must be
-        given the same set, each without itself.
+        Address of each other control host. All control hosts must have
+        the same set, each without its own address.
     advertise_url : str or None
-        Address under which the others reach this host, where it is not
-        the one it listens on.
+        Address at which the other hosts reach this host, if it differs
+        from the address that it listens on.
     public_listen : ListenSettings or None
-        Address at which operators and runners are served in the
-        platform's formats; the hosts talk to each other at ``listen``.
+        Address that serves operators and runners in the platform's
+        formats; the control hosts communicate over ``listen``.
     metrics : ListenSettings or None
-        Port of the metrics, at ``/metrics``.
+        Address that serves the metrics, at ``/metrics``.
     seeds : list of str
-        ``IP:PORT`` of the hosts that found the group, the same on all of
-        them; the ports are not used, as all listen on the same one. With
-        seeds, ``host_id`` is the host's IP address, ``peer_urls`` stays
-        empty and hosts come and go by themselves.
+        ``IP:PORT`` of the hosts that bootstrap the group, the same on all
+        of them. The ports are not used, as all hosts listen on the same
+        port. With seeds, ``host_id`` is the host's IP address,
+        ``peer_urls`` is empty, and hosts join and leave automatically.
     tolerated_losses : int or None
-        Hosts that may lose their disks at once; with seeds, the group
-        grows to two times that and one.
+        Number of hosts that may lose their disks at once. With seeds, the
+        group grows to twice this number plus one.
     full_group_wait_s : float
-        Longest time for which a new group of seeds holds back its first
-        acknowledgement until it has grown to that size. It takes about
-        2 s when all hosts come up; operators send again meanwhile.
+        Longest time for which a new group with seeds delays its first
+        acknowledgement until it has grown to that size. Growth takes about
+        2 s when all hosts start; operators retry in the meantime.
     may_found : bool
-        Whether this host, with an empty folder, may found a new group
-        when all others are empty too. Set to false after the first
-        start, so that a loss of all disks is not taken for a new group.
+        Whether this host, if its data folder is empty, may bootstrap a new
+        group when all other hosts are empty too. Set it to false after the
+        first start, so that the loss of all disks does not lead to a new,
+        empty group.
     heartbeat_s, election_s, clock_drift : float
-        See `limpetroute.agreement.Timings`; equal on all hosts.
+        See `limpetroute.agreement.Timings`; the same on all hosts.
     claim_groups : int
-        Groups that claims are spread over by their key; fixed for life.
-        With 0 the host takes no claims, and sends half the heartbeats.
+        Number of groups that claims are spread over by their key; it can
+        never be changed. With 0 the host accepts no claims, and sends half
+        as many heartbeats.
     compact_after : int
-        Entries after which a snapshot takes their place.
+        Number of log entries after which a snapshot replaces them.
     rewrite_bytes : int
-        Size from which the journal is written anew.
+        Size of the journal at which it is rewritten.
     max_claim_bytes, max_outcome_bytes : int
-        Bounds of the claims' memory in each group, and of an outcome.
+        Most memory of the claims in a group, and largest size of an
+        outcome.
     claim_retention_s, void_retention_s : float
         How long outcomes and withdrawn tokens are kept.
     commit_timeout_s : float
         Longest wait for a quorum.
     watch_timeout_s : float
-        How long a watcher's call is held while nothing changes.
+        How long a watch call stays open while nothing changes.
     """
 
     host_id: names.Name
--- a/limpetroute/border/crash_bodies.py
+++ b/limpetroute/border/crash_bodies.py
@@ -1,4 +1,4 @@
-"""What entry hosts post about requests under which runners crashed."""
+"""Request bodies about requests that were at crashed runners."""
 
 import typing
 
@@ -12,9 +12,10 @@
 
 
 class CrashBody(strict_model.StrictModel):
-    """A runner's crash and what was there.
+    """A crash of a runner, and the requests at the runner.
 
-    ``suspects`` says of each request whether its answer had begun.
+    ``suspects`` maps the fingerprint of each request to whether its answer
+    had begun.
     """
 
     runner_id: str = pydantic.Field(min_length=1, max_length=200)
--- a/limpetroute/border/errors.py
+++ b/limpetroute/border/errors.py
@@ -1,4 +1,4 @@
-"""Turns pydantic's errors into one line for each field."""
+"""Converts pydantic's validation errors to one line per field."""
 
 import difflib
 import json
@@ -16,12 +16,12 @@
 
 
 class InvalidInputError(ValueError):
-    """Input with at least one wrong field.
+    """Raised for input with at least one invalid field.
 
     Parameters
     ----------
     lines : sequence of str
-        One line for each wrong field: its path and what is allowed.
+        One line per invalid field, with its path and what is allowed.
     """
 
     def __init__(self, *, lines: typing.Sequence[str]) -> None:
@@ -33,14 +33,14 @@
     error: pydantic.ValidationError,
     model: type[pydantic.BaseModel] | None = None,
 ) -> list[str]:
-    """Give one line for each wrong field, with its path."""
+    """Return one line per invalid field, with its path."""
     lines = []
     for item in error.errors(include_url=False):
         path = '.'.join(str(part) for part in item['loc'])
         cause = item.get('ctx', {}).get('error')
         if isinstance(cause, field_errors.FieldErrors):
-            for below, text in cause.found:
-                lines.append(f'{path}.{below}: {text}'.lstrip('.'))
+            for subpath, text in cause.found:
+                lines.append(f'{path}.{subpath}: {text}'.lstrip('.'))
             continue
         text = item['msg'].removeprefix('Value error, ')
         if item['type'] == 'extra_forbidden':
@@ -61,13 +61,14 @@
 ) -> _Model:
     """Validate JSON text.
 
-    Models of the product's own files and messages take no ``"3"`` for
-    a number: a unit inside a string would be lost in silence.
+    Models of limpetroute's own files and messages do not accept a string
+    such as ``"3"`` for a number, as a unit in the string would be lost
+    silently.
 
     Raises
     ------
     InvalidInputError
-        If it is not JSON or does not fit the model.
+        If the data is not JSON or does not match the model.
     """
     strict = issubclass(model, strict_model.StrictModel) or None
     try:
@@ -77,14 +78,14 @@
 
 
 def repeated_fields(data: bytes) -> list[str]:
-    """Name the fields that stand twice in one JSON object.
+    """Return an error for each field that a JSON object repeats.
 
-    A parser keeps the last one in silence, so an operator's earlier
-    line would be without effect and nobody told.
+    A parser silently keeps the last value, so an operator's earlier line
+    would have no effect and cause no error.
     """
     found: list[str] = []
 
-    def note(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
+    def check(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
         seen = set()
         for name, _ in pairs:
             if name in seen:
@@ -93,7 +94,7 @@
         return dict(pairs)
 
     try:
-        json.loads(data, object_pairs_hook=note)
+        json.loads(data, object_pairs_hook=check)
     except (ValueError, RecursionError):
         return []
     return found
@@ -123,14 +124,14 @@
 def _fields_at(
     model: type[pydantic.BaseModel] | None, loc: tuple[int | str, ...]
 ) -> list[str]:
-    """Return the field names of the model that a path leads to."""
-    here: typing.Any = model
+    """Return the field names of the nested model at a path."""
+    current: typing.Any = model
     for part in loc:
-        if isinstance(part, int) or here is None:
+        if isinstance(part, int) or current is None:
             continue
-        field = here.model_fields.get(part)
-        here = _model_in(field.annotation) if field else None
-    return list(here.model_fields) if here is not None else []
+        field = current.model_fields.get(part)
+        current = _model_in(field.annotation) if field else None
+    return list(current.model_fields) if current is not None else []
 
 
 def _model_in(annotation: typing.Any) -> type[pydantic.BaseModel] | None:
--- a/limpetroute/border/experiment.py
+++ b/limpetroute/border/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment of the bench: what is played, and by which policies."""
+"""Experiment of the bench: workloads, faults and policies to compare."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 
 class PoolShapeBody(strict_model.StrictModel):
-    """Prefill and decode runners that carry the same models."""
+    """Prefill and decode runners that serve the same models."""
 
     name: str
     models: list[str] = pydantic.Field(min_length=1)
@@ -44,7 +44,7 @@
 
 
 class WorkClassBody(strict_model.StrictModel):
-    """One kind of request; lengths are lognormal, cut at both ends."""
+    """One class of requests; lengths are lognormal, clipped at both ends."""
 
     name: str
     weight: float = pydantic.Field(default=1.0, gt=0)
@@ -81,7 +81,7 @@
 
 
 class FaultBody(strict_model.StrictModel):
-    """One fault; ``runner`` counts within its role, from zero."""
+    """One fault; ``runner`` is the index within the role, from zero."""
 
     kind: typing.Literal[
         'slow', 'lies', 'dies', 'stalled_transfers', 'slow_link'
@@ -97,7 +97,7 @@
 
 
 class CaseBody(strict_model.StrictModel):
-    """One pattern and its faults."""
+    """One load pattern and its faults."""
 
     name: str
     pattern: PatternBody = PatternBody()
--- a/limpetroute/border/field_errors.py
+++ b/limpetroute/border/field_errors.py
@@ -1,15 +1,15 @@
-"""Errors of several fields that one validator found."""
+"""Errors of several nested fields, found by one validator."""
 
 import typing
 
 
 class FieldErrors(ValueError):
-    """Wrong fields below the one that is validated.
+    """Errors in fields below the validated one.
 
     Parameters
     ----------
     found : sequence of (str, str)
-        Path below the validated field, and what is wrong there.
+        Path below the validated field, and the error there.
     """
 
     def __init__(self, *, found: typing.Sequence[tuple[str, str]]) -> None:
@@ -22,20 +22,21 @@
     key: typing.Callable[[typing.Any], typing.Any],
     field: str,
 ) -> None:
-    """Raise `FieldErrors` for each item whose key stood before.
+    """Raise `FieldErrors` that lists all items with a repeated key.
 
-    ``field`` is the path below an item, or empty for the item itself.
+    ``field`` is the path of the key below an item, or empty if the item
+    itself is the key.
     """
     first: dict[typing.Any, int] = {}
     found = []
-    for place, item in enumerate(items):
+    for position, item in enumerate(items):
         value = key(item)
         if value is None:
             continue
         if value in first:
             text = f'{value!r} stands twice, first at {first[value]}'
-            found.append((f'{place}.{field}'.rstrip('.'), text))
+            found.append((f'{position}.{field}'.rstrip('.'), text))
             continue
-        first[value] = place
+        first[value] = position
     if found:
         raise FieldErrors(found=found)
--- a/limpetroute/border/forecast_header.py
+++ b/limpetroute/border/forecast_header.py
@@ -1,7 +1,7 @@
-"""The forecast of a placement, in a header of the leader's answer.
+"""The forecast of a placement, in a header of the leader's response.
 
-Not in the body: entry hosts of earlier releases refuse one with fields that
-they do not know, and would place the stream by themselves.
+It is not in the body because entry hosts of earlier releases reject a body
+with unknown fields, and would then place the stream locally.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class _ForecastBody(pydantic.BaseModel):
-    """See `Forecast`; what a later release adds is left out."""
+    """See `Forecast`; fields that later releases add are ignored."""
 
     queued_s: float
     first_event_s: float
@@ -31,12 +31,12 @@
 
 
 def decode(text: str | None) -> forecast.Forecast | None:
-    """Return what a header says; None without one.
+    """Return the forecast in a header, or None without a header.
 
     Raises
     ------
     ValueError
-        If it says something else.
+        If the header contains no valid forecast.
     """
     if text is None:
         return None
--- a/limpetroute/border/forwarder_settings.py
+++ b/limpetroute/border/forwarder_settings.py
@@ -11,7 +11,7 @@
 
 
 class RetryBudgetSettings(strict_model.StrictModel):
-    """Second sends to one service, over all hosts; see `RetryBudget`."""
+    """Bound on the retries to one service; see `RetryBudget`."""
 
     ratio: float = pydantic.Field(default=0.2, ge=0)
     slack: float = pydantic.Field(default=10.0, ge=0)
@@ -24,15 +24,16 @@
     Parameters
     ----------
     callers, ready, metrics : ListenSettings
-        Where callers, the balancer and metrics are served.
+        Addresses that serve callers, the load balancer's readiness checks
+        and metrics.
     seeds : list of str
-        ``IP:PORT`` of control hosts; read anew when the file changes.
+        ``IP:PORT`` of control hosts; reloaded when the file changes.
     control_port : int
-        Port at which control hosts hear the others.
+        Port at which control hosts serve other hosts.
     grace_s : float
         Time from SIGTERM until the process is killed.
     send_budget : RetryBudgetSettings
-        Bound of second sends.
+        Bound on retries.
     """
 
     host_id: names.Name
--- a/limpetroute/border/limit_bodies.py
+++ b/limpetroute/border/limit_bodies.py
@@ -1,4 +1,4 @@
-"""What entry hosts post about limits that runners name."""
+"""Request body about the rate limit of a runner."""
 
 import pydantic
 
@@ -9,9 +9,10 @@
 
 
 class LimitBody(strict_model.StrictModel):
-    """``POST /v1/limits``: what a runner named, and whether one is to be sent.
+    """``POST /v1/limits``: a runner's rate limit, as a host received it.
 
-    ``age_s`` is how long ago its answer came.
+    ``age_s`` is the time since the host received the runner's response,
+    and ``takes`` is true if the host has a request to send to the runner.
     """
 
     runner_id: str = pydantic.Field(min_length=1, max_length=200)
@@ -23,7 +24,7 @@
     takes: bool
 
     def to_report(self, now_s: float) -> runner_limits.LimitReport:
-        """Return what it says."""
+        """Return the limit, with its time on this process's clock."""
         return runner_limits.LimitReport(
             incarnation=runner_incarnation.RunnerIncarnation(
                 runner_id=self.runner_id, started_ms=self.started_ms
--- a/limpetroute/border/listen_settings.py
+++ b/limpetroute/border/listen_settings.py
@@ -1,4 +1,4 @@
-"""Address a process listens on."""
+"""Settings of an address that a process listens on."""
 
 import ssl
 
@@ -13,9 +13,9 @@
 
 
 class ListenSettings(strict_model.StrictModel):
-    """Address a process listens on; port 0 takes a free one.
+    """Address that a process listens on; port 0 selects a free port.
 
-    ``"IP:PORT"`` stands for an address without TLS.
+    A string ``"IP:PORT"`` is accepted for an address without TLS.
     """
 
     address: addresses.IpAddress = '127.0.0.1'
@@ -24,7 +24,7 @@
 
     @pydantic.model_validator(mode='before')
     @classmethod
-    def _take_text(cls, value: object) -> object:
+    def _parse_text(cls, value: object) -> object:
         if not isinstance(value, str):
             return value
         address, _, port = value.rpartition(':')
@@ -33,7 +33,7 @@
         return {'address': address.strip('[]'), 'port': int(port)}
 
     def tls_context(self) -> ssl.SSLContext | None:
-        """Make the context of the port, or None for plain text.
+        """Return the TLS context of the address, or None without TLS.
 
         Raises
         ------
--- a/limpetroute/border/manifest.py
+++ b/limpetroute/border/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: what the fleet is to look like."""
+"""The manifest: the desired state of the fleet."""
 
 import hashlib
 import typing
@@ -22,7 +22,7 @@
 
 
 class PoolBody(strict_model.StrictModel):
-    """Runners that carry the same models."""
+    """Runners that serve the same models."""
 
     name: Name
     models: list[Name]
@@ -31,7 +31,7 @@
 
 
 class CallBody(strict_model.StrictModel):
-    """Calls of a plain service, and whether they may be repeated."""
+    """Calls to a plain service, and whether they may be repeated."""
 
     method: typing.Literal['GET', 'HEAD', 'PUT', 'DELETE', 'POST', 'PATCH']
     path: str
@@ -41,8 +41,8 @@
 class ServiceBody(strict_model.StrictModel):
     """A plain service.
 
-    A call that no rule names is taken as repeatable only where HTTP
-    calls its method idempotent.
+    A call that no entry of ``calls`` matches is repeatable only if HTTP
+    defines its method as idempotent.
     """
 
     name: Name
@@ -62,14 +62,14 @@
 
 
 class TargetsBody(strict_model.StrictModel):
-    """Latency targets that goodput is counted against."""
+    """Latency targets that a request must meet to count as goodput."""
 
     first_token_s: float = pydantic.Field(default=1.0, gt=0)
     token_gap_s: float = pydantic.Field(default=0.031, gt=0)
 
 
 class ManifestBody(strict_model.StrictModel):
-    """One whole manifest; a higher number replaces a lower one."""
+    """A complete manifest; a higher number replaces a lower one."""
 
     number: int = pydantic.Field(ge=1)
     sender: str = pydantic.Field(default='', max_length=200)
@@ -103,12 +103,12 @@
             return pools
         known = {model.name for model in info.data['models']}
         found = []
-        for place, pool in enumerate(pools):
+        for position, pool in enumerate(pools):
             for number, name in enumerate(pool.models):
                 if name in known:
                     continue
                 allowed = ', '.join(sorted(known)) or 'none'
-                path = f'{place}.models.{number}'
+                path = f'{position}.models.{number}'
                 found.append((path, f'allowed: {allowed} (got {name!r})'))
         if found:
             raise field_errors.FieldErrors(found=found)
@@ -116,6 +116,6 @@
 
     @property
     def digest(self) -> str:
-        """SHA-256 of the content without its sender."""
+        """SHA-256 of the content without the sender."""
         content = self.model_dump_json(exclude={'sender'})
         return hashlib.sha256(content.encode()).hexdigest()
--- a/limpetroute/border/paths.py
+++ b/limpetroute/border/paths.py
@@ -1,4 +1,4 @@
-"""Paths in settings, which count from the settings file's folder."""
+"""Paths in settings, relative to the folder of the settings file."""
 
 import pathlib
 import typing
--- a/limpetroute/border/peer_batch.py
+++ b/limpetroute/border/peer_batch.py
@@ -1,4 +1,4 @@
-"""What control hosts post to each other."""
+"""Body of the messages between control hosts."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 
 class EnvelopeBody(strict_model.StrictModel):
-    """A message of one group's replica."""
+    """A message between two replicas of a group."""
 
     group: int = pydantic.Field(ge=0)
     sender: str
@@ -20,26 +20,26 @@
 
 
 class HostReportBody(strict_model.StrictModel):
-    """An entry host's revision, heard ``age_s`` ago."""
+    """Revision that an entry host reported ``age_s`` ago."""
 
     number: int = pydantic.Field(ge=0)
     age_s: float = pydantic.Field(ge=0)
 
 
 class ReplacementBody(strict_model.StrictModel):
-    """The new host in a replaced one's place, ordered ``age_s`` ago."""
+    """Host that replaces another one, as ordered ``age_s`` ago."""
 
     new_host: str
     age_s: float = pydantic.Field(ge=0)
 
 
 class PeerBatch(strict_model.StrictModel):
-    """Who sends, and what its replicas have to say.
+    """Messages of a host's replicas, and facts about the sending host.
 
-    ``founding`` gives each founding host's replica, once founded;
-    ``replacements`` gives the new host for each one an operator
-    replaces; ``urls`` are control hosts that the sender has heard of
-    late, for a newcomer that knows only some of them.
+    ``founding`` maps each host that bootstrapped the group to its replica,
+    once the group exists. ``replacements`` maps each host that an operator
+    replaces to the new host. ``urls`` are the control hosts that the sender
+    had contact with recently; a new host may have only some of them.
     """
 
     host_id: str
--- a/limpetroute/border/peer_settings.py
+++ b/limpetroute/border/peer_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry host's life among its peers."""
+"""Settings for the communication between entry hosts."""
 
 import pydantic
 
@@ -17,11 +17,11 @@
 
 
 class PeerSettings(strict_model.StrictModel):
-    """How entry hosts watch each other and share what they hold.
+    """How entry hosts monitor each other and share grants and records.
 
-    Without ``voters`` a host is alone: it grants all room itself and
-    keeps no copies. The list and all times must be the same on every
-    host.
+    Without ``voters`` a host works alone: it grants all capacity itself
+    and keeps no copies of records. The list of voters and all times must
+    be the same on every host.
     """
 
     voters: list[names.Name] = []
@@ -46,7 +46,7 @@
         return bool(self.voters)
 
     @pydantic.model_validator(mode='after')
-    def _lease_outlives_renewals(self) -> 'PeerSettings':
+    def _lease_is_longer_than_two_renewals(self) -> 'PeerSettings':
         if self.renew_s * 2 >= self.lease_s:
             raise ValueError('renew_s must be less than half of lease_s')
         return self
--- a/limpetroute/border/placement_bodies.py
+++ b/limpetroute/border/placement_bodies.py
@@ -1,4 +1,4 @@
-"""What entry hosts post about streams' places."""
+"""Request bodies about the placements of streams."""
 
 import pydantic
 
@@ -29,7 +29,7 @@
     silence_s: float = placement.USUAL_SILENCE_S
 
     def to_request(self) -> placement.PlacementRequest:
-        """Return what it says."""
+        """Return the placement request."""
         return placement.PlacementRequest(**self.model_dump())
 
 
@@ -46,7 +46,7 @@
     whole: bool = False
 
     def to_release(self) -> placement.Release:
-        """Return what it says."""
+        """Return the release."""
         return placement.Release(
             request_id=self.request_id,
             attempt=self.attempt,
@@ -59,7 +59,7 @@
 
 
 class PrefillDoneBody(strict_model.StrictModel):
-    """A prompt was read apart for the place of this attempt."""
+    """A prefill runner has finished the prefill for this attempt."""
 
     service: str
     request_id: str
@@ -67,7 +67,7 @@
 
 
 class FirstEventBody(strict_model.StrictModel):
-    """A decode runner has read a prompt: its first event is there."""
+    """A decode runner has prefilled a prompt and sent the first event."""
 
     service: str
     request_id: str
@@ -76,14 +76,14 @@
 
 
 class ReservationBody(strict_model.StrictModel):
-    """A place that an entry host holds."""
+    """A reservation that an entry host holds."""
 
     decode_id: str
     prefill_id: str
     asked: PlacementRequestBody
 
     def to_placement(self) -> placement.Placement:
-        """Return the place."""
+        """Return the placement that is reserved."""
         return placement.Placement(
             request_id=self.asked.request_id,
             decode_id=self.decode_id,
@@ -92,6 +92,6 @@
 
 
 class ReservationsBody(strict_model.StrictModel):
-    """All places that an entry host holds."""
+    """All reservations that an entry host holds."""
 
     held: list[ReservationBody]
--- a/limpetroute/border/policy_settings.py
+++ b/limpetroute/border/policy_settings.py
@@ -1,4 +1,4 @@
-"""What a manifest means to the decisions."""
+"""Converts a manifest to the configuration of the scheduling policy."""
 
 from limpetroute.border import manifest as manifest_module
 from limpetroute.decisions import policy_config
--- a/limpetroute/border/record_settings.py
+++ b/limpetroute/border/record_settings.py
@@ -1,4 +1,4 @@
-"""Where an entry host records a trace of its decisions."""
+"""Settings of the trace that an entry host records."""
 
 import pydantic
 
@@ -7,10 +7,9 @@
 
 
 class RecordSettings(strict_model.StrictModel):
-    """A trace of the decisions, without callers' texts.
+    """Trace of an entry host's decisions, without prompts and answers.
 
-    Recording ends at ``max_bytes``; a file that is there already is
-    never written over.
+    Recording ends at ``max_bytes``. An existing file is never overwritten.
     """
 
     file: paths.FilePath
--- a/limpetroute/border/routes_update_body.py
+++ b/limpetroute/border/routes_update_body.py
@@ -29,19 +29,19 @@
     steps: list[BaseRangeBody | NewFragmentsBody]
 
     def to_update(self) -> routes_copy.RoutesUpdate:
-        """Return the update."""
+        """Convert the body to an update."""
         return routes_copy.RoutesUpdate(
             version=self.version,
             digest=self.digest,
             base=self.base,
-            steps=tuple(_step(one) for one in self.steps),
+            steps=tuple(_step(step) for step in self.steps),
         )
 
 
 class RoutesSliceBody(strict_model.StrictModel):
-    """Characters of an update's JSON text, from ``offset`` on.
+    """Slice of an update's JSON text that starts at ``offset``.
 
-    ``size`` counts the characters of all of it.
+    ``size`` is the number of characters of the whole text.
     """
 
     base: str
@@ -52,7 +52,7 @@
 
 
 class RoutesNoticeBody(strict_model.StrictModel):
-    """Which configuration is in force; the way there where it is short."""
+    """The configuration in force, with the update to it if it is small."""
 
     version: int
     digest: str
--- a/limpetroute/border/settings_file.py
+++ b/limpetroute/border/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads a settings file once, at start."""
+"""Reads and validates settings files."""
 
 import pathlib
 import typing
@@ -18,7 +18,7 @@
     Raises
     ------
     InvalidInputError
-        If the file cannot be read or a field is wrong.
+        If the file cannot be read or a field is invalid.
     """
     return parse(model, read(path), folder=path.parent)
 
@@ -29,7 +29,7 @@
     Raises
     ------
     InvalidInputError
-        If it cannot be read.
+        If the file cannot be read.
     """
     try:
         return path.read_bytes()
@@ -39,28 +39,28 @@
 
 
 def parse(model: type[_Model], data: bytes, *, folder: pathlib.Path) -> _Model:
-    """Validate the content of a file and name every wrong field.
+    """Validate the content of a settings file.
 
     Raises
     ------
     InvalidInputError
-        If a field is wrong or stands twice.
+        If a field is invalid or repeated; it lists all such fields.
     """
     lines = errors.repeated_fields(data)
     try:
-        found = errors.parse(model, data, context={'folder': folder})
+        settings = errors.parse(model, data, context={'folder': folder})
     except errors.InvalidInputError as exc:
         raise errors.InvalidInputError(lines=[*lines, *exc.lines]) from exc
-    if isinstance(found, trust_settings.TrustSettings):
-        lines.extend(found.missing_trust())
-        lines.extend(_unusable_files(found))
+    if isinstance(settings, trust_settings.TrustSettings):
+        lines.extend(settings.missing_trust())
+        lines.extend(_unusable_files(settings))
     if lines:
         raise errors.InvalidInputError(lines=lines)
-    return found
+    return settings
 
 
 def _unusable_files(settings: trust_settings.TrustSettings) -> list[str]:
-    """Name each certificate, key or token file that cannot be used."""
+    """Return an error for each unusable certificate, key or token file."""
     lines: list[str] = []
     try:
         settings.credentials()
--- a/limpetroute/border/standin_settings.py
+++ b/limpetroute/border/standin_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a stand-in runner."""
+"""Settings of a stand-in runner, which simulates an engine."""
 
 import typing
 
@@ -14,7 +14,7 @@
 class StandinSettings(trust_settings.TrustSettings):
     """Settings of a stand-in runner."""
 
-    # A stand-in is for trials: its port may stay open.
+    # Stand-ins are used for tests only, so their port needs no token.
     demo: bool = True
     runner_id: names.Name
     role: typing.Literal['prefill', 'decode', 'service']
--- a/limpetroute/border/strict_model.py
+++ b/limpetroute/border/strict_model.py
@@ -1,9 +1,9 @@
-"""Base of all models at the border."""
+"""Base class of the models of limpetroute's own files and messages."""
 
 import pydantic
 
 
 class StrictModel(pydantic.BaseModel):
-    """Refuses unknown fields and never changes."""
+    """Immutable model that rejects unknown fields."""
 
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
--- a/limpetroute/border/telemetry_settings.py
+++ b/limpetroute/border/telemetry_settings.py
@@ -1,4 +1,4 @@
-"""Where metrics and spans go."""
+"""Settings of the export of metrics and spans."""
 
 import typing
 
@@ -10,10 +10,10 @@
 
 
 class TelemetrySettings(strict_model.StrictModel):
-    """Metrics on ``/metrics``, or pushed by OTLP; spans by OTLP.
+    """Export of metrics over ``/metrics`` or OTLP, and of spans over OTLP.
 
-    ``sampled_share`` is the share of traces begun here that are kept;
-    a caller's own trace keeps the caller's choice.
+    ``sampled_share`` is the share of the traces started by this process
+    that are sampled. A trace started by a caller keeps its sampling flag.
     """
 
     metrics: typing.Literal['prometheus', 'otlp', 'none'] = 'prometheus'
--- a/limpetroute/border/tls_settings.py
+++ b/limpetroute/border/tls_settings.py
@@ -1,11 +1,11 @@
-"""Certificate that a port shows."""
+"""Settings of a port's TLS certificate."""
 
 from limpetroute.border import paths
 from limpetroute.border import strict_model
 
 
 class TlsSettings(strict_model.StrictModel):
-    """Certificate and key in PEM files, read once at start."""
+    """Certificate and key in PEM files, which are read once at start."""
 
     cert_file: paths.FilePath
     key_file: paths.FilePath
--- a/limpetroute/border/trust_settings.py
+++ b/limpetroute/border/trust_settings.py
@@ -1,4 +1,4 @@
-"""Whom the processes of one deployment believe."""
+"""Settings of authentication between the processes of a deployment."""
 
 from limpetroute.border import errors
 from limpetroute.border import paths
@@ -7,10 +7,10 @@
 
 
 class TrustSettings(strict_model.StrictModel):
-    """Token and authority between processes and for operators.
+    """Token and CA certificate for calls of processes and operators.
 
-    The token file has one token a line: the first is sent, each is
-    accepted, so that a token is replaced without a stop.
+    The token file has one token per line. The first token is sent, and
+    each of them is accepted, so tokens can be rotated without downtime.
     """
 
     demo: bool = False
@@ -18,18 +18,18 @@
     ca_file: paths.FilePath | None = None
 
     def missing_trust(self) -> list[str]:
-        """Say what an open internal port still needs."""
+        """Return an error if the internal port would need no token."""
         if self.demo or self.token_file is not None:
             return []
         return ['token_file: Field required unless demo is true']
 
     def credentials(self) -> credentials.Credentials:
-        """Read the files named.
+        """Read the token file and the CA file.
 
         Raises
         ------
         InvalidInputError
-            If one of them cannot be used.
+            If one of the files cannot be used.
         """
         try:
             return credentials.load(
--- a/limpetroute/border/units.py
+++ b/limpetroute/border/units.py
@@ -1,4 +1,4 @@
-"""Constrained numbers that the settings share."""
+"""Number types with bounds, for settings."""
 
 import typing
 
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -152,7 +152,7 @@
 
         Parameters
         ----------
-        report : Report
+        report : LimitReport
             What the runner named, as the host heard it.
         takes : bool
             Whether the host has a request to send.
