--- a/limpetroute/border/errors.py
+++ b/limpetroute/border/errors.py
@@ -39,7 +39,7 @@
         path = '.'.join(str(part) for part in item['loc'])
         cause = item.get('ctx', {}).get('error')
         if isinstance(cause, field_errors.FieldErrors):
-            for subpath, text in cause.found:
+            for subpath, text in cause.errors:
                 lines.append(f'{path}.{subpath}: {text}'.lstrip('.'))
             continue
         text = item['msg'].removeprefix('Value error, ')
@@ -83,13 +83,13 @@
     A parser silently keeps the last value, so an operator's earlier line
     would have no effect and cause no error.
     """
-    found: list[str] = []
+    lines: list[str] = []
 
     def check(pairs: list[tuple[str, typing.Any]]) -> dict[str, typing.Any]:
         seen = set()
         for name, _ in pairs:
             if name in seen:
-                found.append(f'{name}: the field stands twice')
+                lines.append(f'{name}: the field stands twice')
             seen.add(name)
         return dict(pairs)
 
@@ -97,7 +97,7 @@
         json.loads(data, object_pairs_hook=check)
     except (ValueError, RecursionError):
         return []
-    return found
+    return lines
 
 
 def _shorten(value: typing.Any) -> str:
--- a/limpetroute/border/field_errors.py
+++ b/limpetroute/border/field_errors.py
@@ -8,13 +8,13 @@
 
     Parameters
     ----------
-    found : sequence of (str, str)
+    errors : sequence of (str, str)
         Path below the validated field, and the error there.
     """
 
-    def __init__(self, *, found: typing.Sequence[tuple[str, str]]) -> None:
-        super().__init__('; '.join(f'{path}: {text}' for path, text in found))
-        self.found = tuple(found)
+    def __init__(self, *, errors: typing.Sequence[tuple[str, str]]) -> None:
+        super().__init__('; '.join(f'{path}: {text}' for path, text in errors))
+        self.errors = tuple(errors)
 
 
 def check_unique(
@@ -28,15 +28,15 @@
     itself is the key.
     """
     first: dict[typing.Any, int] = {}
-    found = []
+    errors = []
     for position, item in enumerate(items):
         value = key(item)
         if value is None:
             continue
         if value in first:
             text = f'{value!r} stands twice, first at {first[value]}'
-            found.append((f'{position}.{field}'.rstrip('.'), text))
+            errors.append((f'{position}.{field}'.rstrip('.'), text))
             continue
         first[value] = position
-    if found:
-        raise FieldErrors(found=found)
+    if errors:
+        raise FieldErrors(errors=errors)
--- a/limpetroute/border/manifest.py
+++ b/limpetroute/border/manifest.py
@@ -102,16 +102,16 @@
         if 'models' not in info.data:
             return pools
         known = {model.name for model in info.data['models']}
-        found = []
+        errors = []
         for position, pool in enumerate(pools):
             for number, name in enumerate(pool.models):
                 if name in known:
                     continue
                 allowed = ', '.join(sorted(known)) or 'none'
                 path = f'{position}.models.{number}'
-                found.append((path, f'allowed: {allowed} (got {name!r})'))
-        if found:
-            raise field_errors.FieldErrors(found=found)
+                errors.append((path, f'allowed: {allowed} (got {name!r})'))
+        if errors:
+            raise field_errors.FieldErrors(errors=errors)
         return pools
 
     @property
--- a/limpetroute/routing/outlier_detector.py
+++ b/limpetroute/routing/outlier_detector.py
@@ -97,12 +97,12 @@
         """
         if not self._failing:
             return {}
-        found = {}
+        durations_s = {}
         for runner in runners:
             seemed_s = self.runner_gone_s(runner.runner_id, now_s)
             if seemed_s:
-                found[runner.runner_id] = seemed_s
-        return found
+                durations_s[runner.runner_id] = seemed_s
+        return durations_s
 
     def runner_gone_s(self, runner_id: str, now_s: float) -> float:
         """Return for how long a runner has seemed gone, or 0."""
--- a/limpetroute/routing/quarantine.py
+++ b/limpetroute/routing/quarantine.py
@@ -106,18 +106,18 @@
         suspects: typing.Iterable[Suspect],
     ) -> None:
         """Add a crash, or add suspects to a known crash."""
-        known = self._crashes.setdefault(incarnation, {})
+        stored = self._crashes.setdefault(incarnation, {})
         self._crashes.move_to_end(incarnation)
         for suspect in suspects:
             if (
-                suspect.fingerprint not in known
-                and len(known) >= MAX_SUSPECTS_PER_CRASH
+                suspect.fingerprint not in stored
+                and len(stored) >= MAX_SUSPECTS_PER_CRASH
             ):
                 break
-            known[suspect.fingerprint] = suspect.answer_begun
+            stored[suspect.fingerprint] = suspect.answer_begun
         while len(self._crashes) > MAX_STORED_CRASHES:
             self._crashes.popitem(last=False)
-        self._quarantine_blamed(known)
+        self._quarantine_blamed(stored)
 
     def clear(self, fingerprint: str) -> None:
         """Remove a request that a runner has answered completely.
@@ -177,13 +177,13 @@
         # All blames are counted before any request is quarantined. If two
         # requests were at the same runners at each crash, both must be
         # quarantined; quarantining the first would clear the second.
-        found = [
+        blamed = [
             fingerprint
             for fingerprint in fingerprints
             if fingerprint not in self._trials
             and self._blame_count(fingerprint) >= CRASHES_TO_QUARANTINE
         ]
-        for fingerprint in found:
+        for fingerprint in blamed:
             self._trials[fingerprint] = 0
         while len(self._trials) > MAX_QUARANTINED_REQUESTS:
             self._trials.popitem(last=False)
@@ -198,6 +198,6 @@
     def _is_blamed(
         self, fingerprint: str, suspects: typing.Mapping[str, bool]
     ) -> bool:
-        if any(one in self._trials for one in suspects):
+        if any(suspect in self._trials for suspect in suspects):
             return False
         return not suspects[fingerprint] or all(suspects.values())
--- a/limpetroute/routing/runner_limits.py
+++ b/limpetroute/routing/runner_limits.py
@@ -61,36 +61,36 @@
     def note_limit(self, report: LimitReport, now_s: float) -> None:
         """Apply a reported limit, unless a newer report is known."""
         runner_id = report.incarnation.runner_id
-        known = self._limited.get(runner_id)
-        if known is None or known.report.incarnation != report.incarnation:
-            if known is not None and _is_older(
-                report.incarnation, known.report.incarnation
+        limited = self._limited.get(runner_id)
+        if limited is None or limited.report.incarnation != report.incarnation:
+            if limited is not None and _is_older(
+                report.incarnation, limited.report.incarnation
             ):
                 return
-            known = _LimitedRunner(report=report, bucket=None)
-            self._limited[runner_id] = known
-        elif report.received_s < known.report.received_s:
+            limited = _LimitedRunner(report=report, bucket=None)
+            self._limited[runner_id] = limited
+        elif report.received_s < limited.report.received_s:
             return
         self._limited.move_to_end(runner_id)
-        known.report = report
+        limited.report = report
         if report.limit_per_s is None:
-            known.bucket = None
+            limited.bucket = None
         else:
             rate_per_s = max(
                 report.limit_per_s, rate_limit.MIN_PROBE_RATE_PER_S
             )
-            if known.bucket is None:
-                known.bucket = rate_limit.TokenBucket(
+            if limited.bucket is None:
+                limited.bucket = rate_limit.TokenBucket(
                     rate_per_s=rate_per_s, now_s=now_s
                 )
-            known.bucket.set_rate(rate_per_s, now_s)
+            limited.bucket.set_rate(rate_per_s, now_s)
         while len(self._limited) > MAX_RUNNERS:
             self._limited.popitem(last=False)
 
     def limit_per_s(self, runner_id: str) -> float | None:
         """Return the last reported limit of a runner, or None."""
-        known = self._limited.get(runner_id)
-        return known.report.limit_per_s if known is not None else None
+        limited = self._limited.get(runner_id)
+        return limited.report.limit_per_s if limited is not None else None
 
     def has_token(self, runner_id: str, now_s: float) -> bool:
         """Return whether a request may be sent to a runner now."""
@@ -121,25 +121,25 @@
         Each host gets a different time. With the same time, all hosts
         would compete for the same request.
         """
-        known = self._limited.get(runner_id)
-        if known is None or known.bucket is None:
+        limited = self._limited.get(runner_id)
+        if limited is None or limited.bucket is None:
             return 0.0
-        first_s = now_s + known.bucket.wait_s(now_s)
-        known.last_retry_s = max(
-            first_s, known.last_retry_s + 1.0 / known.bucket.rate_per_s
+        first_s = now_s + limited.bucket.wait_s(now_s)
+        limited.last_retry_s = max(
+            first_s, limited.last_retry_s + 1.0 / limited.bucket.rate_per_s
         )
-        if known.last_retry_s - now_s > MAX_RETRY_WAIT_S:
-            known.last_retry_s = max(first_s, now_s)
-        wait_s = min(known.last_retry_s - now_s, MAX_RETRY_WAIT_S)
+        if limited.last_retry_s - now_s > MAX_RETRY_WAIT_S:
+            limited.last_retry_s = max(first_s, now_s)
+        wait_s = min(limited.last_retry_s - now_s, MAX_RETRY_WAIT_S)
         return max(wait_s, MIN_RETRY_WAIT_S)
 
     def _bucket(self, runner_id: str) -> rate_limit.TokenBucket | None:
-        known = self._limited.get(runner_id)
-        return known.bucket if known is not None else None
+        limited = self._limited.get(runner_id)
+        return limited.bucket if limited is not None else None
 
 
 def _is_older(
-    one: runner_incarnation.RunnerIncarnation,
+    incarnation: runner_incarnation.RunnerIncarnation,
     other: runner_incarnation.RunnerIncarnation,
 ) -> bool:
-    return one.started_ms < other.started_ms
+    return incarnation.started_ms < other.started_ms
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -21,8 +21,8 @@
 
 def _crash(table, number, *silent, begun=()):
     suspects = [
-        quarantine.Suspect(fingerprint=one, answer_begun=one in begun)
-        for one in (*silent, *begun)
+        quarantine.Suspect(fingerprint=name, answer_begun=name in begun)
+        for name in (*silent, *begun)
     ]
     table.note_crash(_life(number), suspects)
 
@@ -156,17 +156,17 @@
     table = quarantine.Quarantine()
     moved = []
     for number in range(8):
-        others = [*moved, *(f'q{number}-{one}' for one in range(11))][:11]
-        silent = {one for one in others if rng.random() < 0.25}
+        others = [*moved, *(f'q{number}-{index}' for index in range(11))][:11]
+        silent = {name for name in others if rng.random() < 0.25}
         _crash(table, number, 'bad', *silent, begun=set(others) - silent)
         if 'bad' in table:
             break
         moved = rng.sample(others, 4)
     assert 'bad' in table
     assert number == 2
-    for one in set(table.requests) - {'bad'}:
+    for name in set(table.requests) - {'bad'}:
         # A harmless request can still be cleared by a trial.
-        assert table.take_trial(one, 0) is Trial.GRANTED
+        assert table.take_trial(name, 0) is Trial.GRANTED
 
 
 @hypothesis.given(
@@ -189,7 +189,7 @@
             continue
         _crash(table, number, 'bad', other)
         crashes.add(number)
-        explained = any(one in table for one in 'abcd')
+        explained = any(name in table for name in 'abcd')
         assert 'bad' in table or len(crashes) < 3 or explained
     for other in 'abcd':
         table.clear(other)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -35,8 +35,10 @@
         if budgets[host].take(now_s, HOSTS):
             retries.append(now_s)
     for now_s in retries:
-        window = [one for one in retries if now_s - WINDOW_S <= one <= now_s]
-        sent = [one for one in requests if now_s - WINDOW_S <= one <= now_s]
+        window = [
+            at_s for at_s in retries if now_s - WINDOW_S <= at_s <= now_s
+        ]
+        sent = [at_s for at_s in requests if now_s - WINDOW_S <= at_s <= now_s]
         assert len(window) <= RATIO * len(sent) + SLACK
 
 
--- a/tests/routing/test_runner_limits.py
+++ b/tests/routing/test_runner_limits.py
@@ -94,7 +94,9 @@
 def test_the_share_of_a_host_that_leaves_is_used_by_others():
     hosts = Hosts([30.0, 30.0], lambda now_s: 4.0)
     hosts.run(20.0)
-    hosts._arrivals = [one for one in hosts._arrivals if one[1] == 1]
+    hosts._arrivals = [
+        arrival for arrival in hosts._arrivals if arrival[1] == 1
+    ]
     hosts.sent_s.clear()
     hosts.run(40.0)
     assert len(hosts.sent_s) >= 0.8 * 20.0 * 4.0
@@ -167,10 +169,10 @@
             )
             self.scheduler.ask(ask, now_s)
             answers = self.scheduler.decide(RUNNERS, now_s)
-            for one in answers:
-                if hasattr(one, 'decode_id'):
-                    self.placed.append((now_s, one))
-                    self._end(one, now_s)
+            for answer in answers:
+                if hasattr(answer, 'decode_id'):
+                    self.placed.append((now_s, answer))
+                    self._end(answer, now_s)
 
     def _end(self, place, now_s):
         release = stream_scheduler.placement.Release(
@@ -182,8 +184,8 @@
     def times_s(self, runner_id):
         return [
             at_s
-            for at_s, one in self.placed
-            if runner_id in (one.decode_id, one.prefill_id)
+            for at_s, placed in self.placed
+            if runner_id in (placed.decode_id, placed.prefill_id)
         ]
 
 
