--- a/limpetroute/control/watch_handler.py
+++ b/limpetroute/control/watch_handler.py
@@ -37,7 +37,7 @@
                 self.node.settings.watch_timeout_s,
             ),
         )
-        await self.node.cutter.cut(self.node.config.state)
+        await self.node.routes_splitter.split(self.node.config.state)
         self.finish_gzipped(json.dumps(self._body(after, version)).encode())
 
     def _body(self, after: int, version: int) -> dict[str, object]:
@@ -82,7 +82,7 @@
 
     def _entry_hosts(self) -> int:
         reports = self.node.reports
-        return len(reports.all()) - len(reports.away(self.node.now_s))
+        return len(reports.all()) - len(reports.unresponsive(self.node.now_s))
 
     def _is_in_touch(self) -> bool:
         """Return whether this host hears a leader and has kept up.
@@ -93,7 +93,7 @@
         replica = self.node.config.replica
         if replica.applied_index < replica.commit_index:
             return False
-        return replica.in_touch(self.node.now_s)
+        return replica.has_active_leader(self.node.now_s)
 
     def _leader_url(self) -> str:
         return self.node.url_of(self.node.config.leader_host)
--- a/limpetroute/dispatch/place_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -34,7 +34,7 @@
             return None
 
 
-class PlaceHandler(_Handler):
+class PlacementHandler(_Handler):
     """``POST /v1/places``: held until there is a place, or none."""
 
     _task: 'asyncio.Task[dispatcher_module.Answer | None] | None' = None
@@ -46,7 +46,7 @@
             return
         assert isinstance(asked, placement_bodies.PlacementRequestBody)
         self._task = asyncio.create_task(
-            self.dispatcher.place(asked.to_request())
+            self.dispatcher.request_placement(asked.to_request())
         )
         try:
             answer = await self._task
@@ -72,7 +72,7 @@
             self._task.cancel()
 
 
-class EndHandler(_Handler):
+class ReleaseHandler(_Handler):
     """``POST /v1/places/end``."""
 
     def post(self) -> None:
@@ -81,11 +81,11 @@
         if body is None:
             return
         assert isinstance(body, placement_bodies.ReleaseBody)
-        self.dispatcher.end(body.service, body.to_release())
+        self.dispatcher.release(body.service, body.to_release())
         self.set_status(204)
 
 
-class ReadHandler(_Handler):
+class PrefillDoneHandler(_Handler):
     """``POST /v1/places/read``."""
 
     def post(self) -> None:
@@ -94,7 +94,9 @@
         if body is None:
             return
         assert isinstance(body, placement_bodies.PrefillDoneBody)
-        self.dispatcher.read(body.service, body.request_id, body.attempt)
+        self.dispatcher.note_prefill_done(
+            body.service, body.request_id, body.attempt
+        )
         self.set_status(204)
 
 
@@ -107,13 +109,13 @@
         if body is None:
             return
         assert isinstance(body, placement_bodies.FirstEventBody)
-        self.dispatcher.first_event(
+        self.dispatcher.note_first_event(
             body.service, body.request_id, body.attempt, body.took_s
         )
         self.set_status(204)
 
 
-class HeldHandler(_Handler):
+class RestoreHandler(_Handler):
     """``POST /v1/places/held``."""
 
     def post(self) -> None:
@@ -123,7 +125,7 @@
             return
         assert isinstance(body, placement_bodies.ReservationsBody)
         for one in body.held:
-            self.dispatcher.adopt(one.to_placement(), one.asked.to_request())
+            self.dispatcher.restore(one.to_placement(), one.asked.to_request())
         self.set_status(204)
 
 
@@ -140,7 +142,7 @@
             self.set_status(HTTP_MISDIRECTED)
             self.finish({'reason': 'this host does not lead'})
             return
-        wait_s = self.dispatcher.take_limited(
-            body.to_report(boot_clock.now_s()), takes=body.takes
+        wait_s = self.dispatcher.acquire_token(
+            body.to_report(boot_clock.now_s()), has_request=body.takes
         )
         self.finish({'allowed': wait_s is None, 'wait_s': wait_s or 0.0})
--- a/limpetroute/forwarding/forward_context.py
+++ b/limpetroute/forwarding/forward_context.py
@@ -12,20 +12,20 @@
 from limpetroute.forwarding import dialect as dialect_module
 from limpetroute.forwarding import fleet_view
 from limpetroute.forwarding import forward_meters
-from limpetroute.forwarding import limit_client
 from limpetroute.forwarding import quarantine_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import runner_call
 from limpetroute.forwarding import scheduler_client
-from limpetroute.routing import last_streams
+from limpetroute.routing import moving_mean
 from limpetroute.routing import next_step
 from limpetroute.routing import retry_budget
 from limpetroute.routing import route as route_module
 from limpetroute.routing import runner_info
 from limpetroute.routing import send_result
 from limpetroute.routing import service as service_module
+from limpetroute.routing import shutdown_admission
 from limpetroute.routing import stage_rates
-from limpetroute.routing import usual_size
 
 LOG = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
         Routes and runners.
     watch : ControlWatch
         Knows how many hosts there are.
-    places : SchedulerClient
+    scheduler : SchedulerClient
         Gives streams their places.
     quarantine : QuarantineClient
         Knows the requests under which runners crash.
@@ -65,9 +65,9 @@
         *,
         view: fleet_view.FleetView,
         watch: control_watch.ControlWatch,
-        places: scheduler_client.SchedulerClient,
+        scheduler: scheduler_client.SchedulerClient,
         quarantine: quarantine_client.QuarantineClient,
-        limits: limit_client.LimitClient,
+        limits: rate_limit_client.RateLimitClient,
         dialect: dialect_module.Dialect,
         meters: forward_meters.ForwardMeters,
         zone: str,
@@ -75,7 +75,7 @@
         rng: random.Random,
     ) -> None:
         self.view = view
-        self.places = places
+        self.scheduler = scheduler
         self.quarantine = quarantine
         self.limits = limits
         self.dialect = dialect
@@ -83,9 +83,9 @@
         self.zone = zone
         self.rng = rng
         # When a host that stops breaks off what is still open.
-        self.ends_s: float | None = None
-        self._speeds: dict[str, usual_size.UsualSize] = {}
-        self.takes_calls = True
+        self.shutdown_s: float | None = None
+        self._speeds: dict[str, moving_mean.MovingMean] = {}
+        self.accepts_calls = True
         self._watch = watch
         self._make_budget = make_budget
         self._aside: set[asyncio.Task[None]] = set()
@@ -99,18 +99,18 @@
         """Hosts that forward, this one among them, as far as known."""
         return self._watch.entry_hosts
 
-    def takes_stream(
+    def accepts_stream(
         self,
         service: service_module.Service,
         generation: caller_request.Generation,
     ) -> bool:
         """Return whether a stream surely ends before this host does."""
-        if self.ends_s is None:
+        if self.shutdown_s is None:
             return True
-        return last_streams.may_take(
-            most_tokens=generation.max_output_tokens,
+        return shutdown_admission.ends_before_shutdown(
+            max_tokens=generation.max_output_tokens,
             tokens_per_s=self._speed(service).mean,
-            left_s=self.ends_s - _now_s(),
+            remaining_s=self.shutdown_s - _now_s(),
         )
 
     def note_speed(
@@ -119,19 +119,21 @@
         """Take note of how fast a stream was written."""
         self._speed(service).note(tokens_per_s)
 
-    def left_s(
+    def remaining_s(
         self,
         request: caller_request.CallerRequest,
         route: route_module.Route,
     ) -> float:
         """Return the time left for an answer, at least 0."""
         whole_s = route.timeout_s
-        if request.patience_s is not None:
-            whole_s = min(whole_s, request.patience_s)
+        if request.deadline_s is not None:
+            whole_s = min(whole_s, request.deadline_s)
         spent_s = asyncio.get_running_loop().time() - request.received_s
         return max(0.0, whole_s - spent_s)
 
-    def run_aside(self, work: typing.Coroutine[None, None, None]) -> None:
+    def run_in_background(
+        self, work: typing.Coroutine[None, None, None]
+    ) -> None:
         """Run something that no caller waits for."""
         task = asyncio.create_task(work)
         self._aside.add(task)
@@ -141,7 +143,7 @@
         """Count a caller's request for a service."""
         self._budget(service).note_request(_now_s())
 
-    def may_send_again(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Take a second send out of a service's budget."""
         return self._budget(service).take(_now_s(), self.entry_hosts)
 
@@ -180,15 +182,15 @@
             **more,
         )
 
-    def note_answer_of(self, call: runner_call.RunnerCall) -> None:
+    def note_rate_limit(self, call: runner_call.RunnerCall) -> None:
         """Take note of the limit that a runner's answer names."""
-        if not call.status or self.dialect.misdirected(call.status):
+        if not call.status or self.dialect.is_misdirected(call.status):
             return
         self.limits.note_answer(
             call.runner, self.dialect.rate_limit_text(call.headers)
         )
 
-    async def note_broken(
+    async def report_if_crashed(
         self,
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
@@ -224,7 +226,7 @@
         self.quarantine.note_crash(request, runner, begun=begun)
 
     @contextlib.contextmanager
-    def sending(
+    def log_if_cut(
         self,
         request: caller_request.CallerRequest,
         runner: runner_info.RunnerInfo,
@@ -276,12 +278,14 @@
             },
         )
 
-    def _speed(self, service: service_module.Service) -> usual_size.UsualSize:
+    def _speed(
+        self, service: service_module.Service
+    ) -> moving_mean.MovingMean:
         known = self._speeds.get(service.name)
         if known is None:
             assert service.engine is not None
-            known = self._speeds[service.name] = usual_size.UsualSize(
-                stage_rates.first_write_tokens_per_s(service.engine)
+            known = self._speeds[service.name] = moving_mean.MovingMean(
+                stage_rates.default_decode_tokens_per_s(service.engine)
             )
         return known
 
--- a/limpetroute/forwarding/placement_session.py
+++ b/limpetroute/forwarding/placement_session.py
@@ -41,9 +41,9 @@
     """What has become of a stream; see `PlacementRequest` for the fields."""
 
     tried: frozenset[str]
-    goes_on: bool
+    is_resumed: bool
     written_tokens: int
-    reads_prompt: bool
+    may_use_prefill_runner: bool
     waited_s: float
 
 
@@ -79,7 +79,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(request={self._request.request_id!r})'
 
-    async def take(
+    async def acquire(
         self, so_far: StreamProgress
     ) -> AssignedRunners | placement.Rejection:
         """Return runners, or a rejection.
@@ -92,14 +92,14 @@
         begun_s = _now_s()
         while True:
             ask = self._ask(so_far, waited_here_s=_now_s() - begun_s)
-            answer = await self._context.places.ask(ask)
+            answer = await self._context.scheduler.request_placement(ask)
             if isinstance(answer, placement.Rejection):
                 return answer
             if isinstance(answer, placement.Placement):
                 rooms = self._rooms(answer)
                 if rooms is not None:
                     return rooms
-                self.give_back()
+                self.release()
             # The leader may have kept it waiting before it failed.
             waited_s = so_far.waited_s + _now_s() - begun_s
             ask = dataclasses.replace(ask, waited_s=waited_s)
@@ -111,22 +111,22 @@
                 return got
             await asyncio.sleep(LOOK_AGAIN_S)
 
-    def note_read(self) -> None:
+    def note_prefill_done(self) -> None:
         """Tell whoever gave the places that the prompt was read."""
-        self._context.places.read(
+        self._context.scheduler.note_prefill_done(
             self._service.name, self._request.request_id, self._attempt
         )
 
     def note_first_event(self, sent_s: float) -> None:
         """Tell that the decode runner has read what it was sent then."""
-        self._context.places.first_event(
+        self._context.scheduler.note_first_event(
             self._service.name,
             self._request.request_id,
             self._attempt,
             _now_s() - sent_s,
         )
 
-    def give_back(
+    def release(
         self,
         *,
         events_s: float = 0.0,
@@ -136,7 +136,7 @@
         whole: bool = False,
     ) -> None:
         """Give back what is held, with what was measured."""
-        self._context.places.end(
+        self._context.scheduler.release(
             self._service.name,
             placement.Release(
                 request_id=self._request.request_id,
@@ -154,7 +154,7 @@
     ) -> placement.PlacementRequest:
         generation = self._request.generation
         assert generation is not None
-        self._attempt = self._context.places.next_attempt()
+        self._attempt = self._context.scheduler.next_attempt()
         waited_s = so_far.waited_s + waited_here_s
         return placement.PlacementRequest(
             request_id=self._request.request_id,
@@ -165,10 +165,10 @@
             waited_s=waited_s,
             target_s=self._route.target_s,
             patience_s=waited_s
-            + self._context.left_s(self._request, self._route),
-            goes_on=so_far.goes_on,
+            + self._context.remaining_s(self._request, self._route),
+            goes_on=so_far.is_resumed,
             written_tokens=so_far.written_tokens,
-            reads_prompt=so_far.reads_prompt,
+            reads_prompt=so_far.may_use_prefill_runner,
             may_repeat=self._route.repeatable,
             zone=self._context.zone,
             prompt_id=generation.prompt_id,
@@ -199,7 +199,7 @@
     def _decide_alone(
         self, ask: placement.PlacementRequest
     ) -> AssignedRunners | placement.Rejection:
-        if ask.waited_s > stream_times.longest_wait_s(ask):
+        if ask.waited_s > stream_times.max_wait_s(ask):
             return placement.Rejection(
                 request_id=ask.request_id,
                 retry_after_s=1.0,
@@ -214,7 +214,7 @@
             engine=self._service.engine,
             loads=context.view.loads,
             tokens=ask.prompt_tokens + ask.most_output_tokens,
-            part=LOCAL_SHARE_FACTOR / context.entry_hosts,
+            share=LOCAL_SHARE_FACTOR / context.entry_hosts,
             tried=ask.avoid,
             now_s=now_s,
             rng=context.rng,
@@ -227,7 +227,7 @@
                 now_s=now_s,
                 rng=context.rng,
             )
-        may_read = prefill or local_placement.may_self_read_alone(
+        may_read = prefill or local_placement.may_self_prefill_locally(
             ask, entry_hosts=context.entry_hosts
         )
         if decode is None or not may_read or not self._take(decode, prefill):
@@ -236,7 +236,7 @@
                 retry_after_s=1.0,
                 reason='no room known',
             )
-        context.places.note_own(
+        context.scheduler.note_local_placement(
             placement.Placement(
                 request_id=ask.request_id,
                 decode_id=decode.runner_id,
@@ -253,14 +253,14 @@
     ) -> bool:
         """Return whether limits let this host send to both now."""
         limits = self._context.limits
-        if prefill is not None and not limits.take_alone(prefill):
+        if prefill is not None and not limits.take_locally(prefill):
             return False
-        return limits.take_alone(decode)
+        return limits.take_locally(decode)
 
     def _log_alone(
         self,
         ask: placement.PlacementRequest,
-        answer: scheduler_client.Answer,
+        answer: scheduler_client.PlacementResult,
         got: AssignedRunners | placement.Rejection,
     ) -> None:
         decode = (
--- a/limpetroute/forwarding/prompt_reading.py
+++ b/limpetroute/forwarding/prompt_prefill.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Reading:
+class PrefilledPrompt:
     """A prompt's KV cache at a prefill runner, until it is taken."""
 
     runner: runner_info.RunnerInfo
@@ -37,7 +37,7 @@
     taken: bool = False
 
 
-class PromptReading:
+class PromptPrefill:
     """Has a prompt read by a prefill runner.
 
     Parameters
@@ -60,12 +60,14 @@
         self._context = context
         self._request = request
         self._route = route
-        self._reading: Reading | None = None
+        self._reading: PrefilledPrompt | None = None
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(reading={self._reading!r})'
 
-    async def read(self, runner: runner_info.RunnerInfo) -> Reading | None:
+    async def run(
+        self, runner: runner_info.RunnerInfo
+    ) -> PrefilledPrompt | None:
         """Return where the KV cache is, or None if none was made.
 
         Without one, another place has to be asked for: whoever gives
@@ -93,32 +95,32 @@
         if reading is None or reading.taken:
             return
         reading.taken = True
-        self._context.run_aside(self._free(reading))
+        self._context.run_in_background(self._free(reading))
 
     async def _call(
         self, runner: runner_info.RunnerInfo, tokens: int
-    ) -> Reading | None:
+    ) -> PrefilledPrompt | None:
         context = self._context
         begun_s = _now_s()
         call = runner_call.RunnerCall(runner=runner, dialect=context.dialect)
-        left_s = context.left_s(self._request, self._route)
+        left_s = context.remaining_s(self._request, self._route)
         limit_s = READING_SLACK_S + tokens / SLOWEST_TOKENS_PER_S
-        note = dialect_module.SendNote(
-            left_s=min(left_s, limit_s),
+        note = dialect_module.SendOptions(
+            remaining_s=min(left_s, limit_s),
             runner_id=runner.runner_id,
             prefill_only=True,
         )
         handle = ''
         try:
-            with context.sending(self._request, runner, part='prefill'):
+            with context.log_if_cut(self._request, runner, part='prefill'):
                 failed = await call.open(self._request, note)
-                context.note_answer_of(call)
+                context.note_rate_limit(call)
                 if failed is None:
                     handle, failed = await self._read_handle(call)
         finally:
             call.close()
         if failed and failed.result is send_result.SendResult.BROKEN:
-            await context.note_broken(self._request, runner, begun=False)
+            await context.report_if_crashed(self._request, runner, begun=False)
         load = context.view.load(runner.runner_id)
         if failed is None:
             load.note_success(_now_s() - begun_s)
@@ -137,7 +139,7 @@
         )
         if failed is not None:
             return None
-        self._reading = Reading(
+        self._reading = PrefilledPrompt(
             runner=runner,
             source=dialect_module.KvSource(
                 address=runner.address, handle=handle
@@ -150,7 +152,7 @@
         self, call: runner_call.RunnerCall
     ) -> tuple[str, runner_call.SendFailure | None]:
         body = await call.read(
-            self._context.left_s(self._request, self._route)
+            self._context.remaining_s(self._request, self._route)
         )
         if isinstance(body, runner_call.SendFailure):
             return '', body
@@ -166,8 +168,8 @@
                 result=send_result.SendResult.BROKEN, detail=str(exc)
             )
 
-    async def _free(self, reading: Reading) -> None:
-        what = self._context.dialect.free_handle(
+    async def _free(self, reading: PrefilledPrompt) -> None:
+        what = self._context.dialect.free_handle_call(
             reading.source.handle, reading.runner.runner_id
         )
         got = await caller.Caller().call(
--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -2,8 +2,8 @@
 
 import typing
 
-from limpetroute.routing import decode_room
 from limpetroute.routing import fleet as fleet_module
+from limpetroute.routing import memory_forecast
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import placement
 from limpetroute.routing import reservations
@@ -17,7 +17,7 @@
 SAME_ZONE_BONUS = 0.08
 # Runners that are looked at to tell whether there is room for a stream:
 # where those with most free memory have none, others hardly do.
-ROOM_CANDIDATES = 4
+MAX_PROBED_RUNNERS = 4
 
 
 class DecodePlacement:
@@ -51,46 +51,46 @@
         self._outliers = outliers
         self._fleet = fleet
         self._limits = limits
-        self.room_checks = 0
+        self.fit_checks = 0
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(room_checks={self.room_checks!r})'
+        return f'{type(self).__name__}(fit_checks={self.fit_checks!r})'
 
     def best(
-        self, ask: placement.PlacementRequest, ready_s: float, now_s: float
+        self, request: placement.PlacementRequest, ready_s: float, now_s: float
     ) -> runner_info.RunnerInfo | None:
         """Return the decode runner with most memory left, if one has room.
 
         Runners are looked at from the one with most free memory on, until
         none that follows can be better; those of the caller's zone first.
         """
-        decoders = self._fleet.decoders
-        outlook = self._reservations.outlook(ask, ready_s)
+        decoders = self._fleet.decode_runners
+        forecast = self._reservations.forecast_memory(request, ready_s)
         bonus = self._engine.memory_tokens * SAME_ZONE_BONUS
         best = None
         best_rank = 0.0
-        if ask.zone:
-            for free, runner in decoders.most_free(ask.zone):
-                most = free - ask.tokens_to_read
+        if request.zone:
+            for free, runner in decoders.by_free_memory(request.zone):
+                most = free - request.prefill_tokens
                 if most < 0 or (best and most + bonus <= best_rank):
                     break
-                rank = self._rank(ask, outlook, runner, now_s)
+                rank = self._rank(request, forecast, runner, now_s)
                 if rank is not None and (best is None or rank > best_rank):
                     best, best_rank = runner, rank
-        for free, runner in decoders.most_free():
-            most = free - ask.tokens_to_read
+        for free, runner in decoders.by_free_memory():
+            most = free - request.prefill_tokens
             if most < 0 or (best and most <= best_rank):
                 break
-            if ask.zone and runner.zone == ask.zone:
+            if request.zone and runner.zone == request.zone:
                 continue
-            rank = self._rank(ask, outlook, runner, now_s)
+            rank = self._rank(request, forecast, runner, now_s)
             if rank is not None and (best is None or rank > best_rank):
                 best, best_rank = runner, rank
         return best
 
     def best_of(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         runners: typing.Iterable[runner_info.RunnerInfo],
         ready_s: float,
         now_s: float,
@@ -99,65 +99,67 @@
 
         They come in the order of their free memory, most first.
         """
-        outlook = None
+        forecast = None
         best = None
         best_rank = 0.0
         for runner in runners:
-            free = self._fleet.decoders.free_tokens(runner.runner_id)
-            if free < ask.tokens_to_read:
+            free = self._fleet.decode_runners.free_tokens(runner.runner_id)
+            if free < request.prefill_tokens:
                 break
-            if outlook is None:
-                outlook = self._reservations.outlook(ask, ready_s)
-            rank = self._rank(ask, outlook, runner, now_s)
+            if forecast is None:
+                forecast = self._reservations.forecast_memory(request, ready_s)
+            rank = self._rank(request, forecast, runner, now_s)
             if rank is not None and (best is None or rank > best_rank):
                 best, best_rank = runner, rank
         return best
 
-    def has_room(self, ask: placement.PlacementRequest, now_s: float) -> bool:
+    def has_free_runner(
+        self, request: placement.PlacementRequest, now_s: float
+    ) -> bool:
         """Return whether a decode runner has room for a stream now."""
-        outlook = self._reservations.outlook(ask, now_s)
+        forecast = self._reservations.forecast_memory(request, now_s)
         checks = 0
-        for free, runner in self._fleet.decoders.most_free():
-            if free < ask.tokens_to_read or checks == ROOM_CANDIDATES:
+        for free, runner in self._fleet.decode_runners.by_free_memory():
+            if free < request.prefill_tokens or checks == MAX_PROBED_RUNNERS:
                 return False
-            if self._rank(ask, outlook, runner, now_s) is not None:
+            if self._rank(request, forecast, runner, now_s) is not None:
                 return True
             checks += 1
         return False
 
     def fits(
         self,
-        ask: placement.PlacementRequest,
+        request: placement.PlacementRequest,
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> bool:
         """Return whether one decode runner has room for a stream now."""
-        outlook = self._reservations.outlook(ask, now_s)
-        return self._rank(ask, outlook, runner, now_s) is not None
+        forecast = self._reservations.forecast_memory(request, now_s)
+        return self._rank(request, forecast, runner, now_s) is not None
 
     def _rank(
         self,
-        ask: placement.PlacementRequest,
-        outlook: decode_room.StreamOutlook,
+        request: placement.PlacementRequest,
+        forecast: memory_forecast.MemoryForecast,
         runner: runner_info.RunnerInfo,
         now_s: float,
     ) -> float | None:
         """Return the memory left at a runner, or None without room."""
-        if runner.runner_id in ask.avoid:
+        if runner.runner_id in request.avoid:
             return None
-        taken = self._reservations.streams(runner.runner_id)
+        taken = self._reservations.stream_count(runner.runner_id)
         hidden = self._outliers.hidden_slots(runner.runner_id, now_s)
         if taken + hidden >= self._engine.slots:
             return None
         if not self._limits.has_token(runner.runner_id, now_s):
             return None
-        self.room_checks += 1
-        room = self._reservations.room_tokens(taken + 1)
+        self.fit_checks += 1
+        room = self._reservations.usable_tokens(taken + 1)
         profile = self._reservations.profile(runner.runner_id, now_s)
-        peak = profile.peak_with(outlook, now_s)
+        peak = profile.peak_with(forecast, now_s)
         if peak > room:
             return None
         rank = room - peak
-        if runner.zone == ask.zone:
+        if runner.zone == request.zone:
             rank += room * SAME_ZONE_BONUS
         return rank
--- a/limpetroute/routing/runner_selector.py
+++ b/limpetroute/routing/runner_selector.py
@@ -85,14 +85,17 @@
         The caller must reserve the runners before it chooses those of the
         next stream.
         """
-        request = stream.ask
+        request = stream.request
         prefill_runner = (
             self._first_free_prefill_runner() if request.reads_prompt else None
         )
         if prefill_runner is not None and self._prefill_runner_is_busy:
             # An idle decode runner prefills more slowly, but may finish
             # earlier than the busy prefill runner with its queue.
-            if not self._prefill.writers_read_well or not self._idle_runners:
+            if (
+                not self._prefill.decodes_during_prefill
+                or not self._idle_runners
+            ):
                 return None
             ready_s = self._prefill.ready_s(request, None, self._now_s)
             if ready_s >= self._prefill.ready_s(
@@ -123,7 +126,7 @@
         )
 
     def _free_tokens(self, runner: runner_info.RunnerInfo) -> float:
-        return self._fleet.decoders.free_tokens(runner.runner_id)
+        return self._fleet.decode_runners.free_tokens(runner.runner_id)
 
     def _first_free_prefill_runner(self) -> runner_info.RunnerInfo | None:
         if self._prefill_runner is None:
@@ -141,9 +144,11 @@
     ) -> runner_info.RunnerInfo | None:
         if stream.fits_nowhere:
             return self._decode_placement.best_of(
-                stream.ask, self._freed, ready_s, self._now_s
+                stream.request, self._freed, ready_s, self._now_s
             )
-        found = self._decode_placement.best(stream.ask, ready_s, self._now_s)
+        found = self._decode_placement.best(
+            stream.request, ready_s, self._now_s
+        )
         stream.fits_nowhere = found is None
         return found
 
@@ -152,15 +157,15 @@
     ) -> runner_info.RunnerInfo | None:
         """Return the best decode runner to prefill the prompt itself."""
         idle = self._idle_runners
-        if self._prefill.is_long(stream.ask):
-            on_time = stream.is_on_time(ready_s)
+        if self._prefill.exceeds_pause_limit(stream.request):
+            on_time = stream.meets_targets(ready_s)
             idle = [
                 runner
                 for runner in idle
-                if self._prefill.may_read_long(runner, on_time=on_time)
+                if self._prefill.may_prefill_long(runner, on_time=on_time)
             ]
         return self._decode_placement.best_of(
-            stream.ask, idle, ready_s, self._now_s
+            stream.request, idle, ready_s, self._now_s
         )
 
     @property
@@ -169,7 +174,7 @@
         if self._idle is None:
             self._idle = [
                 runner
-                for _, runner in self._fleet.decoders.most_free()
-                if self._prefill.is_idle(runner, self._now_s)
+                for _, runner in self._fleet.decode_runners.by_free_memory()
+                if self._prefill.may_self_prefill(runner, self._now_s)
             ]
         return self._idle
--- a/limpetroute/routing/last_streams.py
+++ b/limpetroute/routing/shutdown_admission.py
@@ -3,10 +3,12 @@
 # Streams are slower than usual while runners are full or preempt them.
 SPEED_MARGIN = 1.5
 # From its arrival to its first event, where nothing has to be waited for.
-BEGIN_S = 0.6
+FIRST_EVENT_S = 0.6
 
 
-def may_take(*, most_tokens: int, tokens_per_s: float, left_s: float) -> bool:
+def ends_before_shutdown(
+    *, max_tokens: int, tokens_per_s: float, remaining_s: float
+) -> bool:
     """Return whether a stream surely ends before this host does.
 
     Pattern: hosts are stopped one after the other, faster than each of
@@ -26,5 +28,5 @@
     left_s : float
         Time until this host breaks off what is still open.
     """
-    needed_s = BEGIN_S + SPEED_MARGIN * most_tokens / tokens_per_s
-    return needed_s <= left_s
+    needed_s = FIRST_EVENT_S + SPEED_MARGIN * max_tokens / tokens_per_s
+    return needed_s <= remaining_s
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -4,21 +4,21 @@
 import typing
 
 from limpetroute.routing import admission
+from limpetroute.routing import capacity_probe
 from limpetroute.routing import decode_placement
 from limpetroute.routing import fleet as fleet_module
 from limpetroute.routing import forecast
+from limpetroute.routing import moving_mean
 from limpetroute.routing import outlier_detector
 from limpetroute.routing import placement
+from limpetroute.routing import pool_sizing
 from limpetroute.routing import prefill_queue
 from limpetroute.routing import reservations
-from limpetroute.routing import room_probe
 from limpetroute.routing import runner_info
 from limpetroute.routing import runner_limits
 from limpetroute.routing import runner_selector
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import stage_split
-from limpetroute.routing import usual_size
 from limpetroute.routing import wait_estimate
 from limpetroute.routing import waiting_queue
 from limpetroute.routing import waiting_stream
@@ -29,7 +29,7 @@
 # As many streams that cannot make their target any more may wait as this
 # part of those that run at once; the rest are told at once when to come
 # back.
-LATE_PART = 1 / 6
+LATE_WAITING_SHARE = 1 / 6
 # While streams wait that can still make it, one place in this many goes
 # to one that cannot: a late answer is worth a part, but not nothing.
 LATE_ADMISSION_INTERVAL = 8
@@ -38,9 +38,9 @@
 FULL_PASS_S = 0.05
 # Room checks of one pass; what is left goes on in the next one, so that
 # no pass keeps its process from other work.
-MOST_ROOM_CHECKS = 1000
+MAX_FIT_CHECKS = 1000
 
-Answer = placement.Placement | placement.Rejection
+PlacementResult = placement.Placement | placement.Rejection
 
 
 class StreamScheduler:
@@ -79,9 +79,9 @@
         self._engine = engine
         self._limits = limits or runner_limits.RunnerLimits()
         self._reservations = reservations.Reservations(engine=engine)
-        guess = stage_rates.first_guess(engine)
-        self._prompt_size = usual_size.UsualSize(guess.prompt_tokens)
-        self._output_size = usual_size.UsualSize(guess.output_tokens)
+        guess = stage_rates.default_rates(engine)
+        self._prompt_size = moving_mean.MovingMean(guess.prompt_tokens)
+        self._output_size = moving_mean.MovingMean(guess.output_tokens)
         self._prefill = prefill_queue.PrefillQueue(
             reserved=self._reservations,
             prompt_size=self._prompt_size,
@@ -121,7 +121,7 @@
         )
 
     @property
-    def held(self) -> int:
+    def reservation_count(self) -> int:
         """Number of places that are given."""
         return len(self._reservations)
 
@@ -136,9 +136,9 @@
         return self._unfinished
 
     @property
-    def room_checks(self) -> int:
+    def fit_checks(self) -> int:
         """How often it was worked out whether a stream fits a runner."""
-        return self._decode_placement.room_checks
+        return self._decode_placement.fit_checks
 
     @property
     def tokens_per_s(self) -> float:
@@ -162,93 +162,99 @@
         """Return for how long runners have seemed gone, by identity."""
         return self._outliers.gone_s(runners, now_s)
 
-    def forget_runner(self, runner_id: str) -> None:
+    def reset_runner(self, runner_id: str) -> None:
         """Forget a runner's earlier life; it has started again.
 
         It holds and knows nothing of before. Counted on, its former
         streams would keep new ones out until they expire, and failures
         of a process that is gone would keep it at rest.
         """
-        self._reservations.forget_runner(runner_id)
-        self._prefill.forget_runner(runner_id)
+        self._reservations.reset_runner(runner_id)
+        self._prefill.reset_runner(runner_id)
         self._outliers.reset(runner_id)
 
-    def ask(self, ask: placement.PlacementRequest, now_s: float) -> None:
+    def submit(
+        self, request: placement.PlacementRequest, now_s: float
+    ) -> None:
         """Take a stream; `decide` tells what it gets.
 
         One that asks again has given its place back, and what says so
         may come later or never.
         """
-        self._drop(ask.request_id)
-        sent_s = now_s - ask.waited_s
-        first_sent_s = self._admission.first_sent_s(ask, sent_s, now_s)
-        if first_sent_s == sent_s and not ask.goes_on:
-            self._prompt_size.note(ask.prompt_tokens)
-            self._output_size.note(self._reservations.expected_tokens(ask))
+        self._drop(request.request_id)
+        sent_s = now_s - request.waited_s
+        first_sent_s = self._admission.first_sent_s(request, sent_s, now_s)
+        if first_sent_s == sent_s and not request.goes_on:
+            self._prompt_size.note(request.prompt_tokens)
+            self._output_size.note(self._reservations.expected_tokens(request))
         stream = waiting_stream.WaitingStream(
-            ask=ask,
+            request=request,
             sent_s=sent_s,
             first_sent_s=first_sent_s,
-            tokens=ask.tokens_to_read,
+            tokens=request.prefill_tokens,
         )
         self._waiting.add(stream, self._in_time(stream, now_s))
         self._has_new = True
 
-    def withdraw(self, request_id: str) -> None:
+    def cancel(self, request_id: str) -> None:
         """Forget a stream whose caller is gone."""
         self._waiting.remove(request_id)
         self._drop(request_id)
 
-    def first_event(
+    def note_first_event(
         self, request_id: str, attempt: int, took_s: float, now_s: float
     ) -> None:
         """Take note of the first event after a decode runner's own reading.
 
         ``took_s`` is the time from the send to the event.
         """
-        self._prefill.first_event(request_id, attempt, took_s, now_s)
+        self._prefill.note_first_event(request_id, attempt, took_s, now_s)
         self._reservations.note_first_event(request_id, now_s)
 
-    def read(self, request_id: str, attempt: int, now_s: float) -> None:
+    def note_prefill_done(
+        self, request_id: str, attempt: int, now_s: float
+    ) -> None:
         """Take note that a prompt was read apart."""
-        reader_id = self._prefill.done(request_id, attempt, now_s)
-        if reader_id is not None:
-            self._outliers.note_success(reader_id)
+        prefill_id = self._prefill.note_prefill_done(
+            request_id, attempt, now_s
+        )
+        if prefill_id is not None:
+            self._outliers.note_success(prefill_id)
 
-    def end(self, end: placement.Release, now_s: float) -> None:
+    def release(self, end: placement.Release, now_s: float) -> None:
         """Take a place back and learn from how the stream went."""
-        place = self._reservations.end(end)
+        placed = self._reservations.release(end)
         self._prefill.drop(end.request_id, end.attempt)
-        if place is not None:
-            self._admission.released(now_s)
+        if placed is not None:
+            self._admission.note_release(now_s)
         for runner_id in end.full:
-            seen = self._reservations.streams(runner_id)
+            seen = self._reservations.stream_count(runner_id)
             self._outliers.note_full(
                 runner_id, self._engine.slots - seen, now_s
             )
         for runner_id in end.failed:
             self._outliers.note_failure(runner_id, now_s)
-        if place is not None and end.whole and not end.failed:
+        if placed is not None and end.whole and not end.failed:
             # One that its caller gave up says nothing of the runner. Of the
             # reader none does: its part was over seconds ago, and it may
             # be gone since.
-            self._outliers.note_success(place.decode_id)
+            self._outliers.note_success(placed.decode_id)
 
-    def adopt(
+    def restore(
         self,
-        place: placement.Placement,
-        ask: placement.PlacementRequest,
+        placed: placement.Placement,
+        request: placement.PlacementRequest,
         now_s: float,
     ) -> None:
         """Take note of a place that another host gave before."""
-        if place.request_id in self._reservations:
+        if placed.request_id in self._reservations:
             return
         self._reservations.add(
-            place,
-            ask,
-            sent_s=now_s - ask.waited_s,
+            placed,
+            request,
+            sent_s=now_s - request.waited_s,
             begins_s=now_s,
-            on_time=not ask.goes_on,
+            on_time=not request.goes_on,
         )
 
     def decide(
@@ -257,24 +263,26 @@
         now_s: float,
         *,
         changing: typing.Collection[str] = (),
-    ) -> list[Answer]:
+    ) -> list[PlacementResult]:
         """Return what waiting streams get now.
 
         ``changing`` are runners that were told to change their stage:
         for some seconds they refuse all, and are announced as they were.
         """
         self._reservations.expire(now_s)
-        others = self._fleet.refresh(runners, changing, now_s)
-        full = others or now_s - self._full_pass_s >= FULL_PASS_S
-        if others:
-            self._prefill.use(self._fleet.readers, self._fleet.decoders)
+        is_changed = self._fleet.refresh(runners, changing, now_s)
+        full = is_changed or now_s - self._full_pass_s >= FULL_PASS_S
+        if is_changed:
+            self._prefill.set_runners(
+                self._fleet.prefill_runners, self._fleet.decode_runners
+            )
         if full:
             self._full_pass_s = now_s
             self._waiting.sort(lambda one: self._in_time(one, now_s))
             for one in self._waiting.in_order():
                 one.fits_nowhere = False
         self._estimate.refresh(len(self._waiting), now_s, full=full)
-        answers: list[Answer] = []
+        answers: list[PlacementResult] = []
         answers.extend(self._place_waiting(now_s))
         if full or self._has_new:
             self._estimate.refresh(len(self._waiting), now_s, full=full)
@@ -289,16 +297,18 @@
 
     def _in_time(self, one: waiting_stream.WaitingStream, at_s: float) -> bool:
         """Return whether a place given then makes the stream's target."""
-        has_reader = bool(self._fleet.readers)
-        needed_s = self._prefill.to_first_event_s(one.ask, has_reader)
-        return one.in_time(at_s, needed_s)
+        has_prefill_runner = bool(self._fleet.prefill_runners)
+        needed_s = self._prefill.first_event_delay_s(
+            one.request, has_prefill_runner
+        )
+        return one.can_meet_target(at_s, needed_s)
 
     # Placement
 
     def _place_waiting(self, now_s: float) -> list[placement.Placement]:
         self._fleet.update(now_s)
-        freed = self._fleet.by_room(self._reservations.take_freed())
-        most_checks = self._decode_placement.room_checks + MOST_ROOM_CHECKS
+        freed = self._fleet.by_free_memory(self._reservations.take_freed())
+        most_checks = self._decode_placement.fit_checks + MAX_FIT_CHECKS
         choice = runner_selector.RunnerSelector(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
@@ -317,7 +327,7 @@
                 if waited_s <= HEAD_OF_LINE_TIMEOUT_S:
                     continue
                 chosen = None
-            elif self._decode_placement.room_checks > most_checks:
+            elif self._decode_placement.fit_checks > most_checks:
                 self._unfinished = True
                 break
             else:
@@ -329,7 +339,7 @@
             # One that cannot be read yet waits for streams to end, not
             # for room: room that is kept free for it would stand empty.
             if waited_s > HEAD_OF_LINE_TIMEOUT_S and (
-                self._estimate.can_be_read(one.ask)
+                self._estimate.can_be_prefilled(one.request)
             ):
                 break
         return placements
@@ -344,31 +354,35 @@
             self._in_time_in_a_row += 1
         else:
             self._in_time_in_a_row = 0
-        reader = chosen.prefill_runner
+        prefill_runner = chosen.prefill_runner
         expected = self._forecast(one, chosen, now_s)
-        place = placement.Placement(
+        placed = placement.Placement(
             request_id=one.request_id,
             decode_id=chosen.decode_runner.runner_id,
-            prefill_id=reader.runner_id if reader else '',
+            prefill_id=prefill_runner.runner_id if prefill_runner else '',
             forecast=expected,
         )
         self._limits.take(chosen.decode_runner.runner_id, now_s)
-        if reader is not None:
-            self._limits.take(reader.runner_id, now_s)
+        if prefill_runner is not None:
+            self._limits.take(prefill_runner.runner_id, now_s)
         self._waiting.remove(one.request_id)
-        self._admission.served(one.ask, now_s)
-        self._prefill.take(one.ask, reader, chosen.decode_runner, now_s)
-        if reader is None and self._prefill.is_long(one.ask):
-            self._reservations.note_long_pause(place.decode_id)
+        self._admission.note_served(one.request, now_s)
+        self._prefill.add(
+            one.request, prefill_runner, chosen.decode_runner, now_s
+        )
+        if prefill_runner is None and self._prefill.exceeds_pause_limit(
+            one.request
+        ):
+            self._reservations.note_long_pause(placed.decode_id)
         self._reservations.add(
-            place,
-            one.ask,
+            placed,
+            one.request,
             sent_s=one.sent_s,
             begins_s=chosen.ready_s,
             on_time=expected.in_time,
         )
         self._fleet.update(now_s)
-        return place
+        return placed
 
     def _forecast(
         self,
@@ -378,14 +392,16 @@
     ) -> forecast.Forecast:
         decode_id = chosen.decode_runner.runner_id
         return forecast.Forecast(
-            queued_s=now_s - one.sent_s - one.ask.waited_s,
+            queued_s=now_s - one.sent_s - one.request.waited_s,
             first_event_s=chosen.ready_s - one.sent_s,
-            in_time=one.is_on_time(chosen.ready_s),
-            beside=self._reservations.streams(decode_id),
+            in_time=one.meets_targets(chosen.ready_s),
+            beside=self._reservations.stream_count(decode_id),
             pause_s=self._prefill.pause_beside_s(
-                one.ask, chosen.prefill_runner
+                one.request, chosen.prefill_runner
+            ),
+            read_tokens_per_s=self._prefill.prefill_tokens_per_s(
+                chosen.prefill_runner
             ),
-            read_tokens_per_s=self._prefill.speed(chosen.prefill_runner),
         )
 
     # Rejection
@@ -398,9 +414,9 @@
         Between full passes only new streams are looked at, behind those
         that were found to have a turn.
         """
-        has_decoder = bool(self._fleet.decoders)
-        late_room = max(1, round(self._streams_at_once * LATE_PART))
-        room = room_probe.RoomProbe(
+        has_decode_runner = bool(self._fleet.decode_runners)
+        late_limit = max(1, round(self._streams_at_once * LATE_WAITING_SHARE))
+        room = capacity_probe.CapacityProbe(
             decode_placement=self._decode_placement, now_s=now_s
         )
         late_first = self._in_time_in_a_row >= LATE_ADMISSION_INTERVAL
@@ -408,22 +424,29 @@
         ahead = 0
         late = 0
         for one in self._waiting.in_order(late_first=late_first):
-            if full or not one.is_known:
-                one.is_known = True
-                has_room = not one.fits_nowhere and room.has_room(one.ask)
-                turn_s = self._estimate.turn_s(one.ask, ahead, has_room)
-                too_late = turn_s - one.sent_s > one.longest_s
-                one.counts_ahead = has_decoder and (
-                    self._in_time(one, turn_s)
-                    or (one.ask.goes_on and not too_late)
+            if full or not one.is_examined:
+                one.is_examined = True
+                has_free_runner = (
+                    not one.fits_nowhere and room.has_free_runner(one.request)
+                )
+                start_s = self._estimate.start_s(
+                    one.request, ahead, has_free_runner
+                )
+                too_late = start_s - one.sent_s > one.max_wait_s
+                one.counts_in_queue = has_decode_runner and (
+                    self._in_time(one, start_s)
+                    or (one.request.goes_on and not too_late)
                 )
-                overdue = now_s - one.sent_s > one.longest_s
-                if not one.counts_ahead and (
-                    not has_decoder or late >= late_room or too_late or overdue
+                overdue = now_s - one.sent_s > one.max_wait_s
+                if not one.counts_in_queue and (
+                    not has_decode_runner
+                    or late >= late_limit
+                    or too_late
+                    or overdue
                 ):
                     rejections.append(self._reject(one, now_s))
                     continue
-            if one.counts_ahead:
+            if one.counts_in_queue:
                 ahead += 1
             else:
                 late += 1
@@ -436,12 +459,12 @@
         Slots alone would let hundreds wait for memory until they are
         overdue, where a few dozen can be placed in time.
         """
-        each = stage_split.streams_at_once(self._engine, self.rates)
-        return len(self._fleet.decoders) * each
+        each = pool_sizing.concurrent_streams(self._engine, self.rates)
+        return len(self._fleet.decode_runners) * each
 
     def _reject(
         self, one: waiting_stream.WaitingStream, now_s: float
     ) -> placement.Rejection:
         self._waiting.remove(one.request_id)
-        place_s = self._estimate.place_s(len(self._waiting))
-        return self._admission.reject(one, place_s, now_s)
+        slot_free_s = self._estimate.slot_free_s(len(self._waiting))
+        return self._admission.reject(one, slot_free_s, now_s)
