--- a/limpetroute/routing/rate_limit.py
+++ b/limpetroute/routing/rate_limit.py
@@ -6,9 +6,9 @@
 MAX_LIMIT_PER_S = 1_000_000.0
 # Requests left unused for this long may be sent in a burst.
 BURST_S = 0.5
-# A runner with a limit of 0 still gets requests at this rate. It announces
-# its limit only in responses, so without any request the router would not
-# learn that the limit has been lifted.
+# A runner with a lower limit, such as 0, still gets requests at this rate.
+# It announces its limit only in responses, so without any request the
+# router would not learn that the limit has been lifted.
 MIN_PROBE_RATE_PER_S = 0.2
 
 
--- a/limpetroute/routing/runner_selector.py
+++ b/limpetroute/routing/runner_selector.py
@@ -67,7 +67,7 @@
         self._now_s = now_s
         self._prefill_runner: runner_info.RunnerInfo | None = None
         self._prefill_runner_is_busy = False
-        self._idle: list[runner_info.RunnerInfo] | None = None
+        self._candidates: list[runner_info.RunnerInfo] | None = None
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(now_s={self._now_s!r})'
@@ -90,11 +90,11 @@
             self._first_free_prefill_runner() if request.reads_prompt else None
         )
         if prefill_runner is not None and self._prefill_runner_is_busy:
-            # An idle decode runner prefills more slowly, but may finish
+            # A decode runner that prefills itself is slower, but may finish
             # earlier than the busy prefill runner with its queue.
             if (
                 not self._prefill.decodes_during_prefill
-                or not self._idle_runners
+                or not self._self_prefill_candidates
             ):
                 return None
             ready_s = self._prefill.ready_s(request, None, self._now_s)
@@ -116,7 +116,7 @@
         if decode_runner is None:
             return None
         if prefill_runner is None:
-            self._idle = None
+            self._candidates = None
         else:
             self._prefill_runner = None
         return ChosenRunners(
@@ -156,25 +156,25 @@
         self, stream: waiting_stream.WaitingStream, ready_s: float
     ) -> runner_info.RunnerInfo | None:
         """Return the best decode runner to prefill the prompt itself."""
-        idle = self._idle_runners
+        candidates = self._self_prefill_candidates
         if self._prefill.exceeds_pause_limit(stream.request):
             on_time = stream.meets_targets(ready_s)
-            idle = [
+            candidates = [
                 runner
-                for runner in idle
+                for runner in candidates
                 if self._prefill.may_prefill_long(runner, on_time=on_time)
             ]
         return self._decode_placement.best_of(
-            stream.request, idle, ready_s, self._now_s
+            stream.request, candidates, ready_s, self._now_s
         )
 
     @property
-    def _idle_runners(self) -> list[runner_info.RunnerInfo]:
+    def _self_prefill_candidates(self) -> list[runner_info.RunnerInfo]:
         """Decode runners that may prefill now, most free memory first."""
-        if self._idle is None:
-            self._idle = [
+        if self._candidates is None:
+            self._candidates = [
                 runner
                 for _, runner in self._fleet.decode_runners.by_free_memory()
                 if self._prefill.may_self_prefill(runner, self._now_s)
             ]
-        return self._idle
+        return self._candidates
--- a/tests/routing/test_quarantine.py
+++ b/tests/routing/test_quarantine.py
@@ -56,7 +56,7 @@
 
 
 def test_streams_with_begun_answers_are_not_blamed_beside_a_silent_one():
-    """Streams that are resumed after a crash can meet three in a second."""
+    """A stream resumed after each crash can meet three within a second."""
     table = quarantine.Quarantine()
     for number in range(3):
         _crash(table, number, 'bad', begun=('good-1', 'good-2'))
@@ -180,7 +180,7 @@
     )
 )
 def test_a_silent_request_is_quarantined_by_its_third_crash(events):
-    """It holds whichever other requests were present or were cleared."""
+    """This holds whichever other requests were present or cleared."""
     table = quarantine.Quarantine()
     crashes = set()
     for number, other, cleared in events:
--- a/tests/routing/test_runner_limits.py
+++ b/tests/routing/test_runner_limits.py
@@ -38,8 +38,8 @@
         self.limits = runner_limits.RunnerLimits()
         self.limit_at = limit_at
         self.sent_s = []
-        self.asked = 0
-        self._waits_s = [0.0] * len(rates_per_s)
+        self.calls = 0
+        self._waits_until_s = [0.0] * len(rates_per_s)
         self._arrivals = []
         for host, rate in enumerate(rates_per_s):
             if rate:
@@ -57,15 +57,17 @@
         return self.rng.expovariate(rate)
 
     def _request(self, host, now_s):
-        if now_s < self._waits_s[host]:
+        if now_s < self._waits_until_s[host]:
             return
-        self.asked += 1
+        self.calls += 1
         self.limits.note_limit(_report(self.limit_at(now_s), now_s), now_s)
         if self.limits.has_token('r', now_s):
             self.limits.take('r', now_s)
             self.sent_s.append(now_s)
             return
-        self._waits_s[host] = now_s + self.limits.retry_wait_s('r', now_s)
+        self._waits_until_s[host] = now_s + self.limits.retry_wait_s(
+            'r', now_s
+        )
 
 
 @pytest.mark.parametrize('seed', range(3))
@@ -81,7 +83,7 @@
     assert _max_in_window(hosts.sent_s) <= 1.5 * limit_per_s * WINDOW_S + 5
     assert len(hosts.sent_s) >= 0.8 * 60.0 * limit_per_s
     # No request of a caller costs more than one call to the leader.
-    assert hosts.asked <= 60.0 * sum(rates_per_s) * 1.1
+    assert hosts.calls <= 60.0 * sum(rates_per_s) * 1.1
 
 
 def test_limits_that_change_each_second_are_respected():
