--- a/limpetroute/border/forwarder_settings.py
+++ b/limpetroute/border/forwarder_settings.py
@@ -11,7 +11,7 @@
 
 
 class RetryBudgetSettings(strict_model.StrictModel):
-    """Bound on the retries to one service; see `RetryBudget`."""
+    """Bound on all hosts' retries to one service; see `RetryBudget`."""
 
     ratio: float = pydantic.Field(default=0.2, ge=0)
     slack: float = pydantic.Field(default=10.0, ge=0)
--- a/limpetroute/border/peer_batch.py
+++ b/limpetroute/border/peer_batch.py
@@ -38,8 +38,9 @@
 
     ``founding`` maps each host that bootstrapped the group to its replica,
     once the group exists. ``replacements`` maps each host that an operator
-    replaces to the new host. ``urls`` are the control hosts that the sender
-    had contact with recently; a new host may have only some of them.
+    replaces to the new host. ``urls`` are the sender and the control hosts
+    that it had contact with recently. The receiver connects to those that
+    it has no link to, as a new host is configured with some of them only.
     """
 
     host_id: str
--- a/limpetroute/routing/next_step.py
+++ b/limpetroute/routing/next_step.py
@@ -56,8 +56,8 @@
 def next_step(context: RetryContext) -> Step:
     """Return the step that follows a send.
 
-    `RETRY` additionally needs a token of the retry budget and another
-    runner; without them the step is that of `without_retry`.
+    `RETRY` also requires that the retry budget allows it and that there is
+    another runner; otherwise the step is that of `without_retry`.
     """
     if context.result is send_result.SendResult.ANSWERED:
         return Step.RELAY
--- a/limpetroute/routing/send_history.py
+++ b/limpetroute/routing/send_history.py
@@ -49,8 +49,8 @@
             Time left for the answer.
         can_retry : callable
             Returns whether there is another runner and, if the request
-            reached a runner before, a token of the retry budget. It is
-            called only if the route allows another send.
+            reached a runner before, whether the retry budget allows a
+            retry. It is called only if the route allows another send.
         """
         if result is not send_result.SendResult.NOT_SENT:
             self.sends += 1
