--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -158,7 +158,7 @@
 
         Parameters
         ----------
-        report : Report
+        report : LimitReport
             What the runner named, as the host heard it.
         has_request : bool
             Whether the host has a request to send.
