--- a/limpetroute/routing/fleet.py
+++ b/limpetroute/routing/fleet.py
@@ -18,7 +18,7 @@
     reserved : Reservations
         The reserved slots.
     outliers : OutlierDetector
-        Tells which runners are ejected.
+        Determines which runners are ejected.
     limits : RunnerLimits
         Request rates that the runners accept.
     """
@@ -33,7 +33,7 @@
         self._reservations = reserved
         self._outliers = outliers
         self._limits = limits
-        self._known: list[runner_info.RunnerInfo] = []
+        self._runners: list[runner_info.RunnerInfo] = []
         self._changing: frozenset[str] = frozenset()
         self._ready: dict[
             stage_module.Stage | None, dict[str, runner_info.RunnerInfo]
@@ -61,14 +61,14 @@
         some seconds they refuse all requests but are still announced with
         their old stage.
         """
-        known = list(runners)
+        current = list(runners)
         # Unchanged runners are the same objects, so this comparison is cheap.
-        is_new = known != self._known or set(changing) != self._changing
+        is_new = current != self._runners or set(changing) != self._changing
         if is_new:
-            self._known = known
+            self._runners = current
             self._changing = frozenset(changing)
             self._ready = {}
-            for one in known:
+            for one in current:
                 if one.ready and one.runner_id not in self._changing:
                     of_stage = self._ready.setdefault(one.stage, {})
                     of_stage[one.runner_id] = one
@@ -99,11 +99,11 @@
         self, runner_ids: typing.Iterable[str]
     ) -> list[runner_info.RunnerInfo]:
         """Return the given decode runners that are usable, most free first."""
-        known = [one for one in runner_ids if one in self.decode_runners]
-        known.sort(
+        usable = [one for one in runner_ids if one in self.decode_runners]
+        usable.sort(
             key=lambda one: (-self.decode_runners.free_tokens(one), one)
         )
-        return [self.decode_runners.runner(one) for one in known]
+        return [self.decode_runners.runner(one) for one in usable]
 
     def _index(self, now_s: float) -> None:
         self._reservations.take_changed()
--- a/limpetroute/routing/prefill_history.py
+++ b/limpetroute/routing/prefill_history.py
@@ -16,12 +16,12 @@
     """
 
     def __init__(self) -> None:
-        self._known: collections.OrderedDict[tuple[str, str], None] = (
+        self._prompts: collections.OrderedDict[tuple[str, str], None] = (
             collections.OrderedDict()
         )
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(known={len(self._known)!r})'
+        return f'{type(self).__name__}(prompts={len(self._prompts)!r})'
 
     def note(
         self, runner_id: str, request: placement.PlacementRequest
@@ -30,14 +30,14 @@
         if not request.prompt_id:
             return False
         key = (runner_id, f'{request.prompt_id} {request.prompt_tokens}')
-        was_known = key in self._known
-        self._known[key] = None
-        self._known.move_to_end(key)
-        if len(self._known) > MAX_ENTRIES:
-            self._known.popitem(last=False)
+        was_known = key in self._prompts
+        self._prompts[key] = None
+        self._prompts.move_to_end(key)
+        if len(self._prompts) > MAX_ENTRIES:
+            self._prompts.popitem(last=False)
         return was_known
 
     def reset_runner(self, runner_id: str) -> None:
         """Drop the entries of a runner that has restarted."""
-        for key in [one for one in self._known if one[0] == runner_id]:
-            del self._known[key]
+        for key in [one for one in self._prompts if one[0] == runner_id]:
+            del self._prompts[key]
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -437,9 +437,9 @@
 
     def _sort(self, prefill_id: str) -> None:
         """Update the position of a prefill runner in the order of queues."""
-        known = self._key_of.pop(prefill_id, None)
-        if known is not None:
-            self._order.remove(known)
+        old_key = self._key_of.pop(prefill_id, None)
+        if old_key is not None:
+            self._order.remove(old_key)
         if prefill_id in self._prefill_runners:
             key = (self._queue_s(prefill_id), prefill_id)
             self._key_of[prefill_id] = key
--- a/limpetroute/routing/reservations.py
+++ b/limpetroute/routing/reservations.py
@@ -58,7 +58,7 @@
         first_error = stage_rates.default_rates(engine).deviation_tokens
         self._square_error = moving_mean.MovingMean(first_error * first_error)
         self._planned_deviation_tokens = first_error
-        self._rooms: dict[int, float] = {}
+        self._usable_by_count: dict[int, float] = {}
         self._speed = moving_mean.MovingMean(
             stage_rates.default_decode_tokens_per_s(engine)
         )
@@ -86,8 +86,8 @@
 
     def event_s_at(self, runner_id: str) -> float:
         """Return the usual time between two events at one runner."""
-        known = self._event_s.get(runner_id)
-        return known.quantile(0.5) if known is not None else self.event_s
+        existing = self._event_s.get(runner_id)
+        return existing.quantile(0.5) if existing is not None else self.event_s
 
     @property
     def deviation_tokens(self) -> float:
@@ -96,15 +96,15 @@
 
     def usable_tokens(self, streams: int) -> float:
         """Return the memory that may be planned for with this many streams."""
-        known = self._rooms.get(streams)
-        if known is None:
-            known = memory_headroom.usable_tokens(
+        existing = self._usable_by_count.get(streams)
+        if existing is None:
+            existing = memory_headroom.usable_tokens(
                 self._engine.memory_tokens,
                 streams,
                 self._planned_deviation_tokens,
             )
-            self._rooms[streams] = known
-        return known
+            self._usable_by_count[streams] = existing
+        return existing
 
     def free_tokens(self, runner_id: str, now_s: float) -> float:
         """Return the memory that another stream could take on a runner.
@@ -209,10 +209,10 @@
         the first new streams are placed on the runner.
         """
         self._event_s.pop(runner_id, None)
-        known = self._by_runner.get(runner_id)
-        if known is None:
+        existing = self._by_runner.get(runner_id)
+        if existing is None:
             return
-        for request_id in known.request_ids:
+        for request_id in existing.request_ids:
             self._remove(request_id)
 
     def take_changed(self) -> set[str]:
@@ -227,24 +227,24 @@
 
     def stream_count(self, runner_id: str) -> int:
         """Return the number of streams that a runner decodes."""
-        known = self._by_runner.get(runner_id)
-        return known.stream_count if known is not None else 0
+        existing = self._by_runner.get(runner_id)
+        return existing.stream_count if existing is not None else 0
 
     def on_time_count(self, runner_id: str) -> int:
         """Return how many of a runner's streams still meet their targets."""
-        known = self._by_runner.get(runner_id)
-        return known.on_time_count if known is not None else 0
+        existing = self._by_runner.get(runner_id)
+        return existing.on_time_count if existing is not None else 0
 
     def on_time_ends_s(self, runner_id: str, now_s: float) -> list[float]:
         """Return the expected ends of a runner's on-time streams, in order."""
-        known = self._by_runner.get(runner_id)
-        return known.on_time_ends_s(now_s) if known is not None else []
+        existing = self._by_runner.get(runner_id)
+        return existing.on_time_ends_s(now_s) if existing is not None else []
 
     def note_long_pause(self, runner_id: str) -> None:
         """Record a gap that makes all streams of a runner late."""
-        known = self._by_runner.get(runner_id)
-        if known is not None:
-            known.note_long_pause()
+        existing = self._by_runner.get(runner_id)
+        if existing is not None:
+            existing.note_long_pause()
 
     def note_first_event(self, request_id: str, now_s: float) -> None:
         """Record whether a stream's first event came too late."""
@@ -254,8 +254,8 @@
 
     def uses(self, runner_id: str) -> int:
         """Return the number of streams that a runner prefills or decodes."""
-        known = self._by_runner.get(runner_id)
-        return known.uses if known is not None else 0
+        existing = self._by_runner.get(runner_id)
+        return existing.uses if existing is not None else 0
 
     def profile(
         self, runner_id: str, now_s: float
@@ -300,11 +300,11 @@
     def _runner(
         self, runner_id: str
     ) -> runner_reservations.RunnerReservations:
-        known = self._by_runner.get(runner_id)
-        if known is None:
-            known = runner_reservations.RunnerReservations()
-            self._by_runner[runner_id] = known
-        return known
+        existing = self._by_runner.get(runner_id)
+        if existing is None:
+            existing = runner_reservations.RunnerReservations()
+            self._by_runner[runner_id] = existing
+        return existing
 
     def _remove(self, request_id: str) -> _Reservation | None:
         reserved = self._reserved.pop(request_id, None)
@@ -313,9 +313,9 @@
         self._ends.remove((self._end_of.pop(request_id), request_id))
         placed = reserved.placed
         for runner_id in filter(None, (placed.decode_id, placed.prefill_id)):
-            known = self._by_runner[runner_id]
-            known.discard(request_id)
-            if not known.uses:
+            existing = self._by_runner[runner_id]
+            existing.discard(request_id)
+            if not existing.uses:
                 del self._by_runner[runner_id]
         self._changed.add(placed.decode_id)
         self._freed.add(placed.decode_id)
@@ -344,4 +344,4 @@
         measured = self.deviation_tokens
         if abs(measured - planned) > DEVIATION_STEP * planned:
             self._planned_deviation_tokens = measured
-            self._rooms.clear()
+            self._usable_by_count.clear()
--- a/limpetroute/routing/retry_tracker.py
+++ b/limpetroute/routing/retry_tracker.py
@@ -44,17 +44,17 @@
         )
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(known={len(self._refused)!r})'
+        return f'{type(self).__name__}(refused={len(self._refused)!r})'
 
     def first_sent_s(
         self, request: placement.PlacementRequest, sent_s: float, now_s: float
     ) -> float:
         """Return when the caller sent this prompt for the first time."""
-        known = self._refused.get(_key(request))
-        if known is None or now_s > known.expires_s:
+        entry = self._refused.get(_key(request))
+        if entry is None or now_s > entry.expires_s:
             return sent_s
-        self._stop_waiting(_key(request), known)
-        return min(sent_s, known.first_sent_s)
+        self._stop_waiting(_key(request), entry)
+        return min(sent_s, entry.first_sent_s)
 
     def note_refused(
         self,
@@ -106,8 +106,8 @@
         *,
         served: bool,
     ) -> None:
-        known = self._refused.get(_key(request))
-        if known is not None and known.has_returned:
+        entry = self._refused.get(_key(request))
+        if entry is not None and entry.has_returned:
             self._outcomes.append((now_s, served))
 
     def _expire(self, now_s: float) -> None:
@@ -120,14 +120,14 @@
             self._remove(oldest)
 
     def _remove(self, key: str) -> None:
-        known = self._refused.pop(key, None)
-        if known is not None:
-            self._stop_waiting(key, known)
-
-    def _stop_waiting(self, key: str, known: _Refused) -> None:
-        if not known.has_returned:
-            known.has_returned = True
-            self._awaited.remove((known.expires_s, key))
+        entry = self._refused.pop(key, None)
+        if entry is not None:
+            self._stop_waiting(key, entry)
+
+    def _stop_waiting(self, key: str, entry: _Refused) -> None:
+        if not entry.has_returned:
+            entry.has_returned = True
+            self._awaited.remove((entry.expires_s, key))
 
 
 def _key(request: placement.PlacementRequest) -> str:
--- a/limpetroute/routing/runner_reservations.py
+++ b/limpetroute/routing/runner_reservations.py
@@ -80,8 +80,10 @@
 
     def profile(self, now_s: float) -> memory_profile.MemoryProfile:
         """Return the memory of the runner's streams at each stream's end."""
-        known = self._profile
-        if known is None or now_s >= known.valid_until_s:
-            known = memory_profile.MemoryProfile(self._streams.values(), now_s)
-            self._profile = known
-        return known
+        cached = self._profile
+        if cached is None or now_s >= cached.valid_until_s:
+            cached = memory_profile.MemoryProfile(
+                self._streams.values(), now_s
+            )
+            self._profile = cached
+        return cached
--- a/limpetroute/routing/self_prefill_index.py
+++ b/limpetroute/routing/self_prefill_index.py
@@ -15,7 +15,7 @@
     Parameters
     ----------
     prefill : PrefillQueue
-        Tells when runners are free to prefill.
+        Determines when runners are free to prefill.
     fleet : Fleet
         The runners that may be used.
     now_s : float
--- a/limpetroute/routing/self_prefill_tracker.py
+++ b/limpetroute/routing/self_prefill_tracker.py
@@ -73,8 +73,8 @@
         runner_id : str or None
             One runner, or None for all runners together.
         """
-        known = self._speeds.get(runner_id or ALL_RUNNERS)
-        return known.quantile(0.5) if known is not None else None
+        samples = self._speeds.get(runner_id or ALL_RUNNERS)
+        return samples.quantile(0.5) if samples is not None else None
 
     def begin(
         self,
--- a/limpetroute/routing/wait_estimate.py
+++ b/limpetroute/routing/wait_estimate.py
@@ -25,7 +25,7 @@
     reserved : Reservations
         The reserved slots.
     prefill : PrefillQueue
-        Tells when runners are free to prefill.
+        Determines when runners are free to prefill.
     fleet : Fleet
         The runners that may be used.
     decode_placement : DecodePlacement
