--- a/limpetroute/routing/pool_sizing.py
+++ b/limpetroute/routing/pool_sizing.py
@@ -17,7 +17,7 @@
 PREFILL_UTILIZATION = 0.85
 # Bisection steps of the search for a split's rate, which is then found to a
 # thousandth of the interval.
-HALVINGS = 10
+BISECTION_STEPS = 10
 # Number of splits of a large pool that are tried first, and the factor by
 # which the step shrinks from one round to the next.
 INITIAL_SPLITS = 32
@@ -32,9 +32,9 @@
 # A runner that has failed all requests for this long is considered gone for
 # good: a runner that crashes is usually back within five seconds.
 GONE_AFTER_S = 6.0
-# If only two decode runners are left, neither is changed at once, because the
-# other would be the only one during the change. Most runners that crash are
-# back within this time.
+# If only two decode runners are left, a change of one of them is delayed by
+# this time, because the other would be the only one during the change. Most
+# runners that crash are back by then.
 LAST_DECODE_RUNNER_GRACE_S = 4.0
 
 
@@ -73,7 +73,7 @@
     begin_s = rates.prefill_s + stream_times.FIRST_EVENT_OVERHEAD_S
     low = 0.0
     high = max_streams / (begin_s + rates.decode_s)
-    for _ in range(HALVINGS):
+    for _ in range(BISECTION_STEPS):
         tried = (low + high) / 2
         by_each_decode_runner = (
             max(0.0, tried - by_prefill_runners) / decode_runners
@@ -195,13 +195,13 @@
     gone_s : mapping of str to float, optional
         Time in seconds for which runners have seemed gone, by identity.
     """
-    lost = {
+    gone = {
         name for name, for_s in (gone_s or {}).items() if for_s >= GONE_AFTER_S
     }
     ready = [
         one
         for one in runners
-        if one.ready and one.stage is not None and one.runner_id not in lost
+        if one.ready and one.stage is not None and one.runner_id not in gone
     ]
     under_way = [one for one in ready if one.runner_id in changing]
     if not ready or len(under_way) >= _changes_at_once(len(ready)):
@@ -221,19 +221,19 @@
     will_prefill = len(prefill_runners) + sum(
         one.stage is stage_module.Stage.DECODE for one in under_way
     )
-    wanted = target_prefill_count(len(ready), engine, rates)
-    if will_prefill == wanted or not _is_worth_it(
-        will_prefill, wanted, len(ready), engine, rates
+    target = target_prefill_count(len(ready), engine, rates)
+    if will_prefill == target or not _is_worth_it(
+        will_prefill, target, len(ready), engine, rates
     ):
         return None
-    if will_prefill > wanted and prefill_runners:
-        # The last one by name, so that every host that decides picks the same
-        # one.
+    if will_prefill > target and prefill_runners:
+        # The last runner by name, so that every host that decides picks the
+        # same runner.
         chosen = max(prefill_runners, key=lambda one: one.runner_id)
         return StageChange(
             runner_id=chosen.runner_id, stage=stage_module.Stage.DECODE
         )
-    if will_prefill < wanted and decode_runners:
+    if will_prefill < target and decode_runners:
         chosen = min(decode_runners, key=lambda one: one.runner_id)
         return StageChange(
             runner_id=chosen.runner_id, stage=stage_module.Stage.PREFILL
@@ -248,7 +248,7 @@
 
 def _is_worth_it(
     prefill_runners: int,
-    wanted: int,
+    target: int,
     runners: int,
     engine: service_module.Engine,
     rates: stage_rates.StageRates,
@@ -260,7 +260,7 @@
         prefill_runners, runners - prefill_runners, engine=engine, rates=rates
     )
     then_per_s = streams_per_s(
-        wanted, runners - wanted, engine=engine, rates=rates
+        target, runners - target, engine=engine, rates=rates
     )
     return then_per_s >= now_per_s * MIN_CHANGE_GAIN
 
--- a/limpetroute/routing/prefill_queue.py
+++ b/limpetroute/routing/prefill_queue.py
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Prefill:
-    prefill_id: str
+    runner_id: str
     tokens: int
     queued_tokens: int
     started_s: float
@@ -301,7 +301,7 @@
         ahead = self._queued.get(prefill_runner.runner_id, 0)
         self._queued[prefill_runner.runner_id] = ahead + request.prompt_tokens
         self._prefills[(request.request_id, request.attempt)] = _Prefill(
-            prefill_id=prefill_runner.runner_id,
+            runner_id=prefill_runner.runner_id,
             tokens=request.prompt_tokens,
             queued_tokens=ahead + request.prompt_tokens,
             started_s=now_s,
@@ -324,17 +324,17 @@
         if prefill is None:
             return None
         if not prefill.is_measurable:
-            return prefill.prefill_id
+            return prefill.runner_id
         took_s = max(0.001, now_s - prefill.started_s - NETWORK_DELAY_S)
-        speed = self._speed(prefill.prefill_id)
+        speed = self._speed(prefill.runner_id)
         measured = min(prefill.queued_tokens / took_s, 2 * speed)
         usual = self._prompt_size.mean
         weight = SPEED_WEIGHT * min(1.0, prefill.queued_tokens / usual)
         speed += (measured - speed) * weight
-        self._speed_sum += speed - self._speeds.get(prefill.prefill_id, 0.0)
-        self._speeds[prefill.prefill_id] = speed
-        self._sort(prefill.prefill_id)
-        return prefill.prefill_id
+        self._speed_sum += speed - self._speeds.get(prefill.runner_id, 0.0)
+        self._speeds[prefill.runner_id] = speed
+        self._sort(prefill.runner_id)
+        return prefill.runner_id
 
     def note_first_event(
         self, request_id: str, attempt: int, took_s: float, now_s: float
@@ -366,7 +366,7 @@
     def reset_runner(self, runner_id: str) -> None:
         """Drop the prefills and the speed of a runner that has restarted."""
         for key, prefill in list(self._prefills.items()):
-            if prefill.prefill_id == runner_id:
+            if prefill.runner_id == runner_id:
                 self._remove(key)
         self._history.reset_runner(runner_id)
         self._speed_sum -= self._speeds.pop(runner_id, 0.0)
@@ -412,9 +412,9 @@
         """Return when a decode runner has finished its own prefills."""
         return self._self_prefills.free_s(decode_runner.runner_id, now_s)
 
-    def _queue_s(self, prefill_id: str) -> float:
-        tokens = self._queued.get(prefill_id, 0)
-        return tokens / self._speed(prefill_id)
+    def _queue_s(self, runner_id: str) -> float:
+        tokens = self._queued.get(runner_id, 0)
+        return tokens / self._speed(runner_id)
 
     def _expire(self, now_s: float) -> None:
         """Remove prefills without a report for longer than the timeout."""
@@ -428,22 +428,22 @@
         prefill = self._prefills.pop(key, None)
         if prefill is None:
             return None
-        self._cached[prefill.prefill_id] -= prefill.is_cached
-        left = self._queued.pop(prefill.prefill_id, 0) - prefill.tokens
+        self._cached[prefill.runner_id] -= prefill.is_cached
+        left = self._queued.pop(prefill.runner_id, 0) - prefill.tokens
         if left > 0:
-            self._queued[prefill.prefill_id] = left
-        self._sort(prefill.prefill_id)
+            self._queued[prefill.runner_id] = left
+        self._sort(prefill.runner_id)
         return prefill
 
-    def _sort(self, prefill_id: str) -> None:
+    def _sort(self, runner_id: str) -> None:
         """Update the position of a prefill runner in the order of queues."""
-        old_key = self._key_of.pop(prefill_id, None)
+        old_key = self._key_of.pop(runner_id, None)
         if old_key is not None:
             self._order.remove(old_key)
-        if prefill_id in self._prefill_runners:
-            key = (self._queue_s(prefill_id), prefill_id)
-            self._key_of[prefill_id] = key
+        if runner_id in self._prefill_runners:
+            key = (self._queue_s(runner_id), runner_id)
+            self._key_of[runner_id] = key
             self._order.add(key)
 
-    def _speed(self, prefill_id: str) -> float:
-        return self._speeds.get(prefill_id, self.tokens_per_s)
+    def _speed(self, runner_id: str) -> float:
+        return self._speeds.get(runner_id, self.tokens_per_s)
--- a/limpetroute/routing/stream_scheduler.py
+++ b/limpetroute/routing/stream_scheduler.py
@@ -114,7 +114,7 @@
         self._has_new = False
         self._full_pass_s = -math.inf
         self._unfinished = False
-        self._in_time_in_a_row = 0
+        self._in_time_streak = 0
 
     def __repr__(self) -> str:
         return (
@@ -290,7 +290,7 @@
         results.extend(self._place_waiting(now_s))
         if full or self._has_new:
             self._estimate.refresh(len(self._waiting), now_s, full=full)
-            results.extend(self._reject_hopeless(now_s, full=full))
+            results.extend(self._reject_unplaceable(now_s, full=full))
             self._has_new = False
         return results
 
@@ -315,7 +315,7 @@
         self._fleet.update(now_s)
         freed = self._fleet.by_free_memory(self._reservations.take_freed())
         max_checks = self._decode_placement.fit_checks + MAX_FIT_CHECKS
-        choice = runner_selector.RunnerSelector(
+        selector = runner_selector.RunnerSelector(
             prefill=self._prefill,
             decode_placement=self._decode_placement,
             fleet=self._fleet,
@@ -323,9 +323,9 @@
             now_s=now_s,
         )
         self._unfinished = False
-        late_first = self._in_time_in_a_row >= LATE_ADMISSION_INTERVAL
+        late_first = self._in_time_streak >= LATE_ADMISSION_INTERVAL
         placements = []
-        freed_tokens = choice.freed_tokens
+        freed_tokens = selector.freed_tokens
         for one in self._waiting.in_order(late_first=late_first):
             waited_s = now_s - one.sent_s
             if one.fits_nowhere and one.tokens > freed_tokens:
@@ -338,10 +338,10 @@
                 self._unfinished = True
                 break
             else:
-                chosen = choice.choose(one)
+                chosen = selector.choose(one)
             if chosen is not None:
                 placements.append(self._place(one, chosen, now_s))
-                freed_tokens = choice.freed_tokens
+                freed_tokens = selector.freed_tokens
                 continue
             # A stream that cannot be prefilled yet waits for other streams to
             # end, not for capacity. Capacity that is kept free for it would be
@@ -359,9 +359,9 @@
         now_s: float,
     ) -> placement.Placement:
         if self._can_meet_target(one, now_s):
-            self._in_time_in_a_row += 1
+            self._in_time_streak += 1
         else:
-            self._in_time_in_a_row = 0
+            self._in_time_streak = 0
         prefill_runner = chosen.prefill_runner
         expected = self._forecast(one, chosen, now_s)
         placed = placement.Placement(
@@ -414,7 +414,7 @@
 
     # Rejection
 
-    def _reject_hopeless(
+    def _reject_unplaceable(
         self, now_s: float, *, full: bool
     ) -> list[placement.Rejection]:
         """Reject waiting streams that cannot be placed in time.
@@ -427,7 +427,7 @@
         probe = capacity_probe.CapacityProbe(
             decode_placement=self._decode_placement, now_s=now_s
         )
-        late_first = self._in_time_in_a_row >= LATE_ADMISSION_INTERVAL
+        late_first = self._in_time_streak >= LATE_ADMISSION_INTERVAL
         rejections = []
         ahead = 0
         late = 0
