--- a/limpetroute/routing/decode_placement.py
+++ b/limpetroute/routing/decode_placement.py
@@ -64,20 +64,20 @@
         Runners are checked in descending order of free memory, those in the
         caller's zone first, until no later runner can rank higher.
         """
-        decoders = self._fleet.decode_runners
+        decode_runners = self._fleet.decode_runners
         forecast = self._reservations.forecast_memory(request, ready_s)
         bonus = self._engine.memory_tokens * SAME_ZONE_BONUS
         best = None
         best_rank = 0.0
         if request.zone:
-            for free, runner in decoders.by_free_memory(request.zone):
+            for free, runner in decode_runners.by_free_memory(request.zone):
                 most = free - request.prefill_tokens
                 if most < 0 or (best and most + bonus <= best_rank):
                     break
                 rank = self._rank(request, forecast, runner, now_s)
                 if rank is not None and (best is None or rank > best_rank):
                     best, best_rank = runner, rank
-        for free, runner in decoders.by_free_memory():
+        for free, runner in decode_runners.by_free_memory():
             most = free - request.prefill_tokens
             if most < 0 or (best and most <= best_rank):
                 break
--- a/limpetroute/routing/prefill_pause.py
+++ b/limpetroute/routing/prefill_pause.py
@@ -4,8 +4,8 @@
 # steps (a quarter of the usual chunk, at half the speed).
 CHUNK_S = 0.01
 # Streams that decode at less than this share of their speed during a prefill
-# exceed the longest gap between their events: an event of 50 ms then takes a
-# quarter of a second, and some events take that long without a prefill.
+# exceed the allowed gap between events: an event of 50 ms then takes a quarter
+# of a second, and some events take that long without a prefill.
 MIN_PACE = 0.2
 # Share of the longest allowed gap that is planned for, because gaps differ by
 # a twentieth from one prompt to the next.
--- a/tests/routing/stream_play.py
+++ b/tests/routing/stream_play.py
@@ -80,14 +80,14 @@
         while self.events:
             now_s += STEP_S
             while self.events and self.events[0].at_s <= now_s:
-                self.take(heapq.heappop(self.events), now_s)
+                self.handle(heapq.heappop(self.events), now_s)
             for answer in self.scheduler.decide(self.fleet, now_s):
                 self.answer(answer, now_s)
         return self.counts
 
-    def take(self, event, now_s):
+    def handle(self, event, now_s):
         stream = self.streams[event.name.removesuffix('-again')]
-        if event.kind == 'read':
+        if event.kind == 'prefilled':
             self.scheduler.note_prefill_done(event.name, 0, now_s)
             return
         if event.kind == 'end':
@@ -115,11 +115,11 @@
     def answer(self, answer, now_s):
         name = answer.request_id
         stream = self.streams[name.removesuffix('-again')]
-        left_s = PATIENCE_S - (now_s - stream.sent_s)
+        remaining_s = PATIENCE_S - (now_s - stream.sent_s)
         if isinstance(answer, placement.Placement):
             self.prefill_free_s = max(self.prefill_free_s, now_s)
             self.prefill_free_s += stream.prompt_tokens / 50_000
-            self.add(self.prefill_free_s, 'read', name)
+            self.add(self.prefill_free_s, 'prefilled', name)
             first_s = self.prefill_free_s + 0.09
             in_time = first_s <= stream.sent_s + TARGET_S
             self.counts['in time' if in_time else 'late'] += 1
@@ -128,7 +128,7 @@
         elif name.endswith('-again'):
             self.counts['lost'] += 1
         else:
-            wait_s = min(answer.retry_after_s, left_s * HONORED_SHARE)
+            wait_s = min(answer.retry_after_s, remaining_s * HONORED_SHARE)
             self.add(now_s + wait_s, 'back', f'{name}-again')
 
 
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -17,37 +17,37 @@
     )
 
 
-def reject_and_retry(admitted, *, refused, served):
+def reject_and_retry(policy, *, refused, served):
     """Reject callers and let them retry; some retries are rejected again."""
     for n in range(refused + served):
         first = make_stream(f'{n}', 0.0, 0.0)
-        admitted.reject(first, 0.5, 0.0)
+        policy.reject(first, 0.5, 0.0)
         again = make_stream(f'{n}', 4.0, 0.0)
-        assert admitted.first_sent_s(again.request, 4.0, 4.0) == 0.0
+        assert policy.first_sent_s(again.request, 4.0, 4.0) == 0.0
         if n < served:
-            admitted.note_served(again.request, 4.0)
+            policy.note_served(again.request, 4.0)
         else:
-            admitted.reject(again, 4.5, 4.0)
+            policy.reject(again, 4.5, 4.0)
 
 
 # Guards against a delay after which callers are rejected again, as most
 # callers before them were.
 def test_callers_unlikely_to_be_placed_are_not_told_to_retry():
-    admitted = admission.Admission()
-    reject_and_retry(admitted, refused=9, served=1)
-    got = admitted.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
+    policy = admission.Admission()
+    reject_and_retry(policy, refused=9, served=1)
+    got = policy.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
     assert got.retry_after_s >= PATIENCE_S
 
 
 def test_callers_likely_to_be_placed_get_a_short_delay():
-    admitted = admission.Admission()
-    reject_and_retry(admitted, refused=4, served=6)
-    got = admitted.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
+    policy = admission.Admission()
+    reject_and_retry(policy, refused=4, served=6)
+    got = policy.reject(make_stream('new', 5.0, 5.0), 5.5, 5.0)
     assert got.retry_after_s <= PATIENCE_S / 3
 
 
 def test_old_outcomes_expire():
-    admitted = admission.Admission()
-    reject_and_retry(admitted, refused=9, served=1)
-    got = admitted.reject(make_stream('new', 20.0, 20.0), 20.5, 20.0)
+    policy = admission.Admission()
+    reject_and_retry(policy, refused=9, served=1)
+    got = policy.reject(make_stream('new', 20.0, 20.0), 20.5, 20.0)
     assert got.retry_after_s <= PATIENCE_S / 3
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -10,7 +10,7 @@
 from tests.routing import work_counter
 
 
-class Known:
+class RunnerPool:
     """A fleet of decode and prefill runners."""
 
     def __init__(self, decode_runners, prefill_runners=4):
@@ -38,32 +38,32 @@
 def test_failing_runners_are_ejected_and_readmitted():
     """A runner that is ejected for good, or never, loses its streams."""
     rng = random.Random(5)
-    known = Known(8)
+    pool = RunnerPool(8)
     for step in range(600):
         now_s = step * 0.05
         name = f'{rng.choice("dp")}{rng.randrange(4)}'
         if rng.random() < 0.2:
-            known.outliers.note_failure(name, now_s)
+            pool.outliers.note_failure(name, now_s)
         elif rng.random() < 0.2:
-            known.outliers.note_success(name)
+            pool.outliers.note_success(name)
         changing = {'d7'} if step % 50 < 10 else set()
-        known.refresh(now_s, changing)
+        pool.refresh(now_s, changing)
         for stage, usable in (
             (
                 builders.DECODE,
-                {one.runner_id for one in known.fleet.decode_runners},
+                {one.runner_id for one in pool.fleet.decode_runners},
             ),
             (
                 builders.PREFILL,
-                {one.runner_id for one in known.fleet.prefill_runners},
+                {one.runner_id for one in pool.fleet.prefill_runners},
             ),
         ):
             ready = {
                 one.runner_id
-                for one in known.runners
+                for one in pool.runners
                 if one.stage is stage and one.runner_id not in changing
             }
-            ejected = known.outliers.ejected(ready, now_s)
+            ejected = pool.outliers.ejected(ready, now_s)
             if ejected != ready:
                 assert usable == ready - ejected
 
@@ -72,11 +72,11 @@
     """One failing runner caused the order of all others to be rebuilt."""
     lines = []
     for decode_runners in (45, 900):
-        known = Known(decode_runners)
-        known.refresh(0.0)
-        known.outliers.note_failure('d1', 0.0)
+        pool = RunnerPool(decode_runners)
+        pool.refresh(0.0)
+        pool.outliers.note_failure('d1', 0.0)
         counter = work_counter.WorkCounter()
         with counter.counting():
-            assert known.refresh(0.1)
+            assert pool.refresh(0.1)
         lines.append(counter.lines)
     assert lines[1] <= 2 * lines[0]
