--- a/tests/dispatch/test_leader_keeps_its_term.py
+++ b/tests/dispatch/test_leader_keeps_its_term.py
@@ -52,7 +52,7 @@
             for _ in range(round(STREAMS_PER_S * cluster_module.MICRO_STEP_S)):
                 self.fleet.submit()
                 self.fleet.decide()
-                self.fleet.end()
+                self.fleet.release()
                 self.fleet.decide()
         return counter.lines
 
