--- a/tests/routing/test_stream_scheduler.py
+++ b/tests/routing/test_stream_scheduler.py
@@ -232,9 +232,9 @@
         now_s += 0.1
         scheduler.submit(builders.make_request(f's{n}'), now_s)
         for one in placements(scheduler.decide(fleet, now_s)):
-            dark = one.decode_id == 'd0'
-            wasted += dark
-            failed = ('d0',) if dark else ()
+            unresponsive = one.decode_id == 'd0'
+            wasted += unresponsive
+            failed = ('d0',) if unresponsive else ()
             end = placement.Release(request_id=one.request_id, failed=failed)
             scheduler.release(end, now_s)
     assert wasted <= 6
@@ -257,12 +257,12 @@
     for n in range(4):
         scheduler.submit(builders.make_request(f's{n}'), 0.0)
     given = placements(scheduler.decide(fleet, 0.0))
-    dark = [one for one in given if one.decode_id == 'd0']
-    for one in dark[:-1]:
+    unresponsive = [one for one in given if one.decode_id == 'd0']
+    for one in unresponsive[:-1]:
         end = placement.Release(request_id=one.request_id, failed=('d0',))
         scheduler.release(end, 0.5)
-    left = placement.Release(request_id=dark[-1].request_id)
-    scheduler.release(left, 0.6)
+    given_up = placement.Release(request_id=unresponsive[-1].request_id)
+    scheduler.release(given_up, 0.6)
     for n in range(4):
         scheduler.submit(builders.make_request(f'r{n}'), 0.7)
     again = placements(scheduler.decide(fleet, 0.7))
@@ -560,7 +560,7 @@
 
     It prefills one prompt at a time. Streams that arrived meanwhile were
     rejected, as if a slot became free only at the end of a stream. Half of the
-    slots were unused while most callers were told to retry.
+    slots were unused while most callers were rejected.
     """
     scheduler = make_scheduler()
     fleet = [builders.make_runner('d0')]
@@ -867,9 +867,9 @@
     for n in range(8):
         scheduler.submit(builders.make_request(f's{n}'), 0.0)
     got = placements(scheduler.decide(fleet, 0.0))
-    by_writers = [one.decode_id for one in got if not one.prefill_id]
-    assert sorted(by_writers) == ['d0', 'd1', 'd2']
-    assert len(got) > len(by_writers)
+    self_prefilling = [one.decode_id for one in got if not one.prefill_id]
+    assert sorted(self_prefilling) == ['d0', 'd1', 'd2']
+    assert len(got) > len(self_prefilling)
 
 
 def test_a_prefill_runner_that_is_done_sooner_is_waited_for():
