--- a/tests/routing/stream_play.py
+++ b/tests/routing/stream_play.py
@@ -13,7 +13,7 @@
 TOKENS_PER_S = 1300.0
 PATIENCE_S = 14.0
 TARGET_S = 0.9
-# Callers wait as told, up to this part of the time they have left.
+# Callers honor a Retry-After up to this share of their remaining time.
 HONORED_SHARE = 1 / 3
 
 
@@ -34,7 +34,7 @@
 
 
 class StreamPlay:
-    """A base load, a burst, and callers that come back once."""
+    """A base load, a burst, and callers that retry once."""
 
     def __init__(
         self, seed, *, decode_runners, base, peak, burst, until_s=30.0
@@ -80,14 +80,14 @@
         while self.events:
             now_s += STEP_S
             while self.events and self.events[0].at_s <= now_s:
-                self.take(heapq.heappop(self.events), now_s)
+                self.handle(heapq.heappop(self.events), now_s)
             for answer in self.scheduler.decide(self.fleet, now_s):
                 self.answer(answer, now_s)
         return self.counts
 
-    def take(self, event, now_s):
+    def handle(self, event, now_s):
         stream = self.streams[event.name.removesuffix('-again')]
-        if event.kind == 'read':
+        if event.kind == 'prefilled':
             self.scheduler.note_prefill_done(event.name, 0, now_s)
             return
         if event.kind == 'end':
@@ -115,11 +115,11 @@
     def answer(self, answer, now_s):
         name = answer.request_id
         stream = self.streams[name.removesuffix('-again')]
-        left_s = PATIENCE_S - (now_s - stream.sent_s)
+        remaining_s = PATIENCE_S - (now_s - stream.sent_s)
         if isinstance(answer, placement.Placement):
             self.prefill_free_s = max(self.prefill_free_s, now_s)
             self.prefill_free_s += stream.prompt_tokens / 50_000
-            self.add(self.prefill_free_s, 'read', name)
+            self.add(self.prefill_free_s, 'prefilled', name)
             first_s = self.prefill_free_s + 0.09
             in_time = first_s <= stream.sent_s + TARGET_S
             self.counts['in time' if in_time else 'late'] += 1
@@ -128,12 +128,12 @@
         elif name.endswith('-again'):
             self.counts['lost'] += 1
         else:
-            wait_s = min(answer.retry_after_s, left_s * HONORED_SHARE)
+            wait_s = min(answer.retry_after_s, remaining_s * HONORED_SHARE)
             self.add(now_s + wait_s, 'back', f'{name}-again')
 
 
 def totals(**load):
-    """Return the counts over eight seeds."""
+    """Return the sum of the counts over eight seeds."""
     counts = collections.Counter()
     for seed in range(8):
         counts.update(StreamPlay(seed, **load).run())
--- a/tests/routing/test_length_estimate.py
+++ b/tests/routing/test_length_estimate.py
@@ -1,4 +1,4 @@
-"""What callers say of the length of their answers, and what comes."""
+"""Callers' estimates of the length of their answers, and their correction."""
 
 import math
 import random
@@ -20,7 +20,7 @@
 
 
 def error(rng, estimate, *, sigma):
-    """Return the mean error of the logarithm, corrected and as said."""
+    """Return the mean log error of the corrected and the raw estimates."""
     corrected = 0.0
     uncorrected = 0.0
     for _ in range(500):
@@ -35,10 +35,10 @@
 
 
 def test_estimates_that_are_far_off_are_corrected():
-    """Estimates are off by half; a runner is planned full by them.
+    """Estimates are off by half, and a runner's plan is filled with them.
 
-    Answers outgrow their plan, and the newest stream is pushed out in
-    the middle of its answer.
+    Answers outgrow their plan, and the newest stream is preempted in the
+    middle of its answer.
     """
     rng = random.Random(5)
     estimate = learned(rng, answers=200, sigma=0.5)
@@ -53,7 +53,7 @@
     assert corrected < 0.1
 
 
-def test_before_anything_is_known_an_estimate_is_believed():
+def test_estimates_are_used_unchanged_before_any_answer():
     estimate = length_estimate.LengthEstimate()
     assert estimate.tokens(estimated_tokens=500, most_tokens=MOST) == 500
     estimate.learn(estimated_tokens=0, actual_tokens=70)
@@ -66,8 +66,8 @@
     assert estimate.tokens(estimated_tokens=9000, most_tokens=400) == 400
 
 
-def test_equal_estimates_say_nothing_and_break_nothing():
-    """Callers that give none are taken to say the most, all alike."""
+def test_identical_estimates_still_give_the_mean_length():
+    """Callers that give no estimate count with the maximum, all alike."""
     estimate = length_estimate.LengthEstimate()
     for _ in range(200):
         estimate.learn(estimated_tokens=MOST, actual_tokens=4000)
--- a/tests/routing/test_memory_headroom.py
+++ b/tests/routing/test_memory_headroom.py
@@ -1,4 +1,4 @@
-"""How much memory is kept for answers that grow longer than expected."""
+"""Memory reserved for answers that grow longer than estimated."""
 
 import pytest
 
@@ -21,12 +21,12 @@
 def test_short_answers_to_long_prompts_keep_a_fiftieth_free():
     """Nine prompts of 5,000 tokens with answers of 550, off by 200.
 
-    With a tenth kept free, every thirteenth stream found no place.
+    With a tenth kept free, every thirteenth stream found no capacity.
     """
     assert reserved_share(52_113, 9, 200) < 0.04
 
 
-def test_some_is_always_free_and_most_is_never_kept():
+def test_the_reserved_share_is_bounded():
     least, most = (
         memory_headroom.MIN_RESERVED_SHARE,
         memory_headroom.MAX_RESERVED_SHARE,
