--- a/limpetroute/dispatch/__init__.py
+++ b/limpetroute/dispatch/__init__.py
@@ -1,5 +1,6 @@
-"""The control host that leads decides for all entry hosts.
+"""Scheduling on the leading control host, for all entry hosts.
 
-It gives streams their places at runners, and orders runners to their
-stages. What it decides with is pure and stands in `limpetroute.routing`.
+The leader places streams at runners and orders runners to change between
+the prefill and decode stages. The algorithms are pure code in
+`limpetroute.routing`.
 """
--- a/limpetroute/dispatch/dispatch_component.py
+++ b/limpetroute/dispatch/dispatch_component.py
@@ -1,4 +1,4 @@
-"""The dispatcher as a part of a control process."""
+"""Runs the dispatcher and its HTTP handlers in a control process."""
 
 from tornado import web
 
@@ -9,14 +9,14 @@
 
 
 class DispatchComponent:
-    """The dispatcher as a part of a control process.
+    """Runs the dispatcher and its HTTP handlers in a control process.
 
     Parameters
     ----------
     node : Node
         The control host.
     codec : OrderCodec
-        Reads routing configurations and writes orders.
+        Parses routing configurations and encodes orders.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         return f'{type(self).__name__}(dispatcher={self._dispatcher!r})'
 
     def routes(self) -> list[web.URLSpec]:
-        """Return what it serves on the port between hosts."""
+        """Return the handlers for the port between hosts."""
         args = {'dispatcher': self._dispatcher}
         return [
             web.url('/v1/places', placement_handlers.PlacementHandler, args),
@@ -51,9 +51,9 @@
         ]
 
     def start(self) -> None:
-        """Begin."""
+        """Start the dispatcher."""
         self._dispatcher.start()
 
     def stop(self) -> None:
-        """End."""
+        """Stop the dispatcher."""
         self._dispatcher.stop()
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Decides for all entry hosts while this control host leads."""
+"""Schedules streams for all entry hosts while this control host leads."""
 
 import asyncio
 import dataclasses
@@ -19,35 +19,35 @@
 
 LOG = logging.getLogger(__name__)
 
-# How often waiting streams are looked at when nothing else happens, and
-# runners' stages compared with what is wanted.
-LOOK_S = 0.05
-# Entry hosts hear of a new leader within some hundred milliseconds and
-# tell it what places they hold. Until then it gives none: it would fill
-# runners that are full, and prompts would be read for nothing.
-ADOPT_S = 0.5
+# Period in which waiting streams are scheduled again without any event, and
+# in which the runners' stages are compared with the wanted split.
+PASS_PERIOD_S = 0.05
+# Entry hosts find a new leader within a few hundred milliseconds and report
+# their reservations. Placing streams before that would overfill runners
+# that are already full and waste prefills.
+RESTORE_PERIOD_S = 0.5
 
 Answer = placement.Placement | placement.Rejection
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Pending:
-    ask: placement.PlacementRequest
+    request: placement.PlacementRequest
     future: asyncio.Future[Answer | None]
 
 
 class Dispatcher:
-    """Decides for all entry hosts while this control host leads.
+    """Schedules streams for all entry hosts while this control host leads.
 
-    What it knows of places is not in the log: it is worth some seconds
-    only, and entry hosts tell a new leader what they hold.
+    Reservations are not written to the control log, because they are valid
+    for a few seconds only. Entry hosts report theirs to a new leader.
 
     Parameters
     ----------
     node : Node
         This control host.
     codec : OrderCodec
-        Reads routing configurations and writes orders.
+        Parses routing configurations and encodes orders.
     """
 
     def __init__(
@@ -73,52 +73,58 @@
             on_restart=self._forget_runner
         )
         self._led_term = 0
-        self._adopts_until_s = 0.0
+        self._restores_until_s = 0.0
         self._task: asyncio.Task[None] | None = None
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(schedulers={self._schedulers!r})'
 
     def start(self) -> None:
-        """Begin to decide whenever this host leads."""
+        """Start scheduling whenever this host leads."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """End."""
+        """Stop scheduling."""
         if self._task is not None:
             self._task.cancel()
 
     @property
     def leads(self) -> bool:
-        """Whether this host leads, and surely no other."""
+        """Whether this host holds the leader lease, so no other leads."""
         return self._node.config.replica.lease_valid(boot_clock.now_s())
 
     async def request_placement(
-        self, ask: placement.PlacementRequest
+        self, request: placement.PlacementRequest
     ) -> Answer | None:
-        """Return a stream's place, or None if this host cannot decide."""
+        """Wait for a stream's placement or rejection.
+
+        Returns None if this host does not lead, or does not know the
+        service.
+        """
         if not self.leads:
             return None
         self._note_term()
-        scheduler = self._scheduler(ask.service)
+        scheduler = self._scheduler(request.service)
         if scheduler is None:
             return None
         future: asyncio.Future[Answer | None] = (
             asyncio.get_running_loop().create_future()
         )
-        self._pending[ask.request_id] = _Pending(ask=ask, future=future)
-        scheduler.ask(ask, boot_clock.now_s())
-        self._request_pass(ask.service)
+        self._pending[request.request_id] = _Pending(
+            request=request, future=future
+        )
+        scheduler.ask(request, boot_clock.now_s())
+        self._request_pass(request.service)
         try:
             return await future
         except asyncio.CancelledError:
-            scheduler.withdraw(ask.request_id)
+            scheduler.withdraw(request.request_id)
             raise
         finally:
-            self._pending.pop(ask.request_id, None)
+            self._pending.pop(request.request_id, None)
 
     def cancel(self, service: str, request_id: str) -> None:
-        """Forget a stream whose caller is gone."""
+        """Remove a waiting stream whose caller disconnected."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
             scheduler.withdraw(request_id)
@@ -126,7 +132,7 @@
     def note_prefill_done(
         self, service: str, request_id: str, attempt: int
     ) -> None:
-        """Take note that a prompt was read apart."""
+        """Note that a prefill runner has finished a prompt."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
             scheduler.read(request_id, attempt, boot_clock.now_s())
@@ -135,7 +141,19 @@
     def note_first_event(
         self, service: str, request_id: str, attempt: int, took_s: float
     ) -> None:
-        """Take note of the first event after a decode runner's own reading."""
+        """Note the first event of a stream that its decode runner prefilled.
+
+        Parameters
+        ----------
+        service : str
+            The stream's service.
+        request_id : str
+            The stream.
+        attempt : int
+            Number of the attempt.
+        took_s : float
+            Seconds from sending the request to its first event.
+        """
         scheduler = self._scheduler(service)
         if scheduler is not None:
             now_s = boot_clock.now_s()
@@ -143,7 +161,7 @@
             self._request_pass(service)
 
     def release(self, service: str, release: placement.Release) -> None:
-        """Take a place back."""
+        """Release a stream's reservation."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
             scheduler.end(release, boot_clock.now_s())
@@ -152,12 +170,15 @@
     def acquire_token(
         self, report: runner_limits.Report, *, has_request: bool
     ) -> float | None:
-        """Return when a host may send to a limited runner; None if now.
+        """Acquire the right to send one request to a rate-limited runner.
+
+        Returns None if the host may send now, and else the seconds to wait
+        before it tries again.
 
         Parameters
         ----------
         report : Report
-            What the runner named, as the host heard it.
+            The limit that the runner announced to the entry host.
         has_request : bool
             Whether the host has a request to send.
         """
@@ -173,19 +194,21 @@
         return self._limits.turn_s(runner_id, now_s)
 
     def restore(
-        self, place: placement.Placement, ask: placement.PlacementRequest
+        self,
+        reserved: placement.Placement,
+        request: placement.PlacementRequest,
     ) -> None:
-        """Take note of a place that an earlier leader gave."""
+        """Restore a reservation that an earlier leader made."""
         if not self.leads:
             return
         self._note_term()
-        scheduler = self._scheduler(ask.service)
+        scheduler = self._scheduler(request.service)
         if scheduler is not None:
-            scheduler.adopt(place, ask, boot_clock.now_s())
+            scheduler.adopt(reserved, request, boot_clock.now_s())
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(PASS_PERIOD_S)
             if not self.leads:
                 self._led_term = 0
                 self._give_up_pending()
@@ -195,13 +218,13 @@
             for service, scheduler in self._schedulers.items():
                 if scheduler.waiting:
                     self._request_pass(service)
-            self._keep_stages()
+            self._reconcile_stages()
 
     def _give_up_pending(self) -> None:
-        """Tell those who wait that this host cannot decide any more.
+        """Resolve all waiting requests with None after losing the lease.
 
-        Their entry hosts look for the next leader; kept here, they would
-        wait until their callers leave.
+        The entry hosts then look for the next leader. Without this, the
+        streams would wait here until their callers disconnect.
         """
         for pending in self._pending.values():
             if not pending.future.done():
@@ -211,10 +234,10 @@
         term = self._node.config.replica.term
         if term == self._led_term:
             return
-        # What was known in an earlier term is old; entry hosts tell
-        # what they hold as soon as they hear of the new leader.
+        # State from an earlier term is out of date. Entry hosts report
+        # their reservations as soon as they find the new leader.
         self._led_term = term
-        self._adopts_until_s = boot_clock.now_s() + ADOPT_S
+        self._restores_until_s = boot_clock.now_s() + RESTORE_PERIOD_S
         self._schedulers.clear()
         self._limits = runner_limits.RunnerLimits()
         self._orders.begin_term(term, boot_clock.now_s())
@@ -237,10 +260,10 @@
         return scheduler
 
     def _update_services(self) -> None:
-        """Take the services of the configuration in force.
+        """Load the services of the configuration in force.
 
-        Those of the version before serve until it is cut into parts,
-        which happens beside the event loop.
+        The services of the previous version stay in use until the new
+        document has been split in a thread.
         """
         state = self._node.config.state
         if state.routes is None or state.routes_index == self._routes_index:
@@ -250,8 +273,8 @@
             return
         copy = state.routes_copy()
         assert copy is not None
-        found = self._codec.parse_services(copy.parts)
-        self._services = {one.name: one for one in found}
+        services = self._codec.parse_services(copy.parts)
+        self._services = {service.name: service for service in services}
         self._routes_index = state.routes_index
 
     def _runners(self, service: str) -> list[runner_info.RunnerInfo]:
@@ -259,15 +282,15 @@
         return self._service_runners.get(service, table)
 
     def _forget_runner(self, runner_id: str) -> None:
-        """Forget what was known of a runner that has started again."""
+        """Drop all state of a runner that has restarted."""
         for scheduler in self._schedulers.values():
             scheduler.forget_runner(runner_id)
 
     def _request_pass(self, service: str) -> None:
-        """Have a service's streams placed after what is at hand now.
+        """Schedule one pass over a service's streams on the event loop.
 
-        Events that come together are decided together, and heartbeats that
-        came in are read before the next pass.
+        All events of one loop iteration share one pass, and heartbeats that
+        have arrived are processed before it.
         """
         if service in self._passes:
             return
@@ -286,7 +309,7 @@
     def _decide(
         self, service: str, scheduler: stream_scheduler.StreamScheduler
     ) -> None:
-        if boot_clock.now_s() < self._adopts_until_s:
+        if boot_clock.now_s() < self._restores_until_s:
             return
         runners = self._runners(service)
         now_s = boot_clock.now_s()
@@ -299,7 +322,7 @@
                     'request': answer.request_id,
                     'outcome': type(answer).__name__,
                     **_detail(answer),
-                    **(_inputs(pending.ask) if pending else {}),
+                    **(_inputs(pending.request) if pending else {}),
                     'held': scheduler.held,
                     'waiting': scheduler.waiting,
                     'tokens_per_s': round(scheduler.tokens_per_s),
@@ -309,7 +332,7 @@
             if pending is not None and not pending.future.done():
                 pending.future.set_result(answer)
 
-    def _keep_stages(self) -> None:
+    def _reconcile_stages(self) -> None:
         self._update_services()
         for service in self._services.values():
             if service.engine is None:
@@ -327,29 +350,30 @@
 def _detail(answer: Answer) -> dict[str, typing.Any]:
     body = dataclasses.asdict(answer)
     del body['request_id']
-    expected = body.pop('forecast', None)
-    if expected is not None:
+    forecast = body.pop('forecast', None)
+    if forecast is not None:
         body.update(
-            queued_ms=round(expected['queued_s'] * 1000),
-            expected_first_ms=round(expected['first_event_s'] * 1000),
-            in_time=expected['in_time'],
-            beside=expected['beside'],
-            pause_beside_ms=round(expected['pause_s'] * 1000),
-            read_tokens_per_s=round(expected['read_tokens_per_s']),
+            queued_ms=round(forecast['queued_s'] * 1000),
+            expected_first_ms=round(forecast['first_event_s'] * 1000),
+            in_time=forecast['in_time'],
+            beside=forecast['beside'],
+            pause_beside_ms=round(forecast['pause_s'] * 1000),
+            read_tokens_per_s=round(forecast['read_tokens_per_s']),
         )
     return body
 
 
-def _inputs(ask: placement.PlacementRequest) -> dict[str, typing.Any]:
-    """Return what of a stream decided, for the log.
+def _inputs(request: placement.PlacementRequest) -> dict[str, typing.Any]:
+    """Return the inputs of a scheduling decision as log fields.
 
-    A caller that comes back has another request id, but the same prompt.
+    The prompt is logged because a caller that retries has another request
+    id but the same prompt.
     """
     return {
-        'prompt': ask.prompt_id,
-        'prompt_tokens': ask.prompt_tokens,
-        'expected_tokens': ask.output_tokens,
-        'waited_ms': round(ask.waited_s * 1000),
-        'patience_ms': round(ask.patience_s * 1000),
-        'goes_on': ask.goes_on,
+        'prompt': request.prompt_id,
+        'prompt_tokens': request.prompt_tokens,
+        'expected_tokens': request.output_tokens,
+        'waited_ms': round(request.waited_s * 1000),
+        'patience_ms': round(request.patience_s * 1000),
+        'goes_on': request.goes_on,
     }
--- a/limpetroute/dispatch/order_codec.py
+++ b/limpetroute/dispatch/order_codec.py
@@ -1,4 +1,4 @@
-"""How orders to runners are written."""
+"""Encoding of orders to runners."""
 
 import typing
 
@@ -9,7 +9,7 @@
 
 
 class OrderCodec(typing.Protocol):
-    """How orders to runners are written, and configurations read."""
+    """Encodes orders to runners and parses routing configurations."""
 
     def parse_services(
         self, parts: typing.Sequence[routes_parts.Part]
@@ -27,7 +27,13 @@
         """Return the call that orders a runner to a stage."""
 
     def busy_request(self, runner_id: str) -> small_call.SmallCall:
-        """Return the call that asks whether a runner carries one out."""
+        """Return the call that asks whether a runner is changing stage."""
 
     def parse_busy(self, body: bytes) -> bool:
-        """Return what it answers; `ValueError` if that cannot be read."""
+        """Parse the reply to `busy_request`.
+
+        Raises
+        ------
+        ValueError
+            If the body is not such a reply.
+        """
--- a/limpetroute/dispatch/placement_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -1,4 +1,4 @@
-"""``/v1/places``: entry hosts ask for places and give them back."""
+"""``/v1/places``: handlers for placement requests of entry hosts."""
 
 import asyncio
 import dataclasses
@@ -35,12 +35,12 @@
 
 
 class PlacementHandler(_Handler):
-    """``POST /v1/places``: held until there is a place, or none."""
+    """``POST /v1/places``: replies once a stream is placed or rejected."""
 
     _task: 'asyncio.Task[dispatcher_module.Answer | None] | None' = None
 
     async def post(self) -> None:
-        """Answer with a place, a refusal, or that this host cannot say."""
+        """Reply with a placement, a rejection, or 421 if not the leader."""
         asked = self.parse(place_bodies.AskBody)
         if asked is None:
             return
@@ -67,7 +67,7 @@
         self.finish(body)
 
     def on_connection_close(self) -> None:
-        """Withdraw the stream of a caller that is gone."""
+        """Cancel the request of an entry host that disconnected."""
         if self._task is not None:
             self._task.cancel()
 
@@ -76,7 +76,7 @@
     """``POST /v1/places/end``."""
 
     def post(self) -> None:
-        """Take a place back."""
+        """Release a reservation."""
         body = self.parse(place_bodies.EndBody)
         if body is None:
             return
@@ -89,7 +89,7 @@
     """``POST /v1/places/read``."""
 
     def post(self) -> None:
-        """Take note that a prompt was read apart."""
+        """Note that a prefill runner has finished a prompt."""
         body = self.parse(place_bodies.ReadBody)
         if body is None:
             return
@@ -104,7 +104,7 @@
     """``POST /v1/places/first-event``."""
 
     def post(self) -> None:
-        """Take note of the first event after a decode runner's reading."""
+        """Note the first event of a stream prefilled by its decode runner."""
         body = self.parse(place_bodies.FirstEventBody)
         if body is None:
             return
@@ -119,13 +119,13 @@
     """``POST /v1/places/held``."""
 
     def post(self) -> None:
-        """Take note of the places that an entry host holds."""
+        """Restore the reservations that an entry host holds."""
         body = self.parse(place_bodies.HeldBody)
         if body is None:
             return
         assert isinstance(body, place_bodies.HeldBody)
-        for one in body.held:
-            self.dispatcher.restore(one.place(), one.asked.ask())
+        for held in body.held:
+            self.dispatcher.restore(held.place(), held.asked.ask())
         self.set_status(204)
 
 
@@ -133,7 +133,7 @@
     """``POST /v1/limits``."""
 
     def post(self) -> None:
-        """Take what a runner named, and say whether one may be sent."""
+        """Record a runner's rate limit and grant or delay one request."""
         body = self.parse(limit_bodies.LimitBody)
         if body is None:
             return
--- a/limpetroute/dispatch/service_runners.py
+++ b/limpetroute/dispatch/service_runners.py
@@ -1,4 +1,4 @@
-"""The runners of each service, read from the rows of the control log."""
+"""The runners of each service, parsed from the control log's rows."""
 
 import dataclasses
 import logging
@@ -12,27 +12,27 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _ReadRow:
+class _ParsedRow:
     row: runner_row.RunnerRow
     info: runner_info.RunnerInfo
 
 
 class ServiceRunners:
-    """The runners of each service, read from the rows of the control log.
+    """The runners of each service, parsed from the control log's rows.
 
-    A row is parsed when it changes, not when another one does; unchanged
-    runners stay the same objects.
+    Each row is parsed once after it changes. Unchanged runners keep their
+    objects.
 
     Parameters
     ----------
     on_restart : callable
-        Is called with the identity of a runner that has started again.
+        Called with the identity of a runner that has restarted.
     """
 
     def __init__(self, *, on_restart: typing.Callable[[str], None]) -> None:
         self._on_restart = on_restart
-        self._read_index = -1
-        self._rows: dict[str, _ReadRow] = {}
+        self._parsed_index = -1
+        self._rows: dict[str, _ParsedRow] = {}
         self._by_service: dict[str, list[runner_info.RunnerInfo]] = {}
 
     def __repr__(self) -> str:
@@ -41,20 +41,20 @@
     def get(
         self, service: str, table: runner_table.RunnerTable
     ) -> list[runner_info.RunnerInfo]:
-        """Return the runners of a service as a table has them."""
-        if table.changed_index != self._read_index:
-            self._read_index = table.changed_index
-            self._read(table)
+        """Return the runners of a service that are in a table."""
+        if table.changed_index != self._parsed_index:
+            self._parsed_index = table.changed_index
+            self._parse(table)
         return self._by_service.get(service, [])
 
-    def _read(self, table: runner_table.RunnerTable) -> None:
+    def _parse(self, table: runner_table.RunnerTable) -> None:
         rows = {}
         self._by_service = {}
         for row in table:
             known = self._rows.get(row.runner_id)
             if known is None or known.row is not row:
                 self._note_restart(row, known)
-                known = _ReadRow(row=row, info=_info(row))
+                known = _ParsedRow(row=row, info=_info(row))
             rows[row.runner_id] = known
             self._by_service.setdefault(known.info.service, []).append(
                 known.info
@@ -62,12 +62,12 @@
         self._rows = rows
 
     def _note_restart(
-        self, row: runner_row.RunnerRow, known: _ReadRow | None
+        self, row: runner_row.RunnerRow, known: _ParsedRow | None
     ) -> None:
         if known is None or known.row.started_ms == row.started_ms:
             return
         LOG.info(
-            'a runner has started again',
+            'runner restarted',
             extra={'runner': row.runner_id, 'started_ms': row.started_ms},
         )
         self._on_restart(row.runner_id)
--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -1,4 +1,4 @@
-"""Orders runners to their stages, a few at a time."""
+"""Orders runners to change stage, a few at a time."""
 
 import asyncio
 import dataclasses
@@ -16,36 +16,38 @@
 LOG = logging.getLogger(__name__)
 
 ORDER_TIMEOUT_S = 1.0
-# Nobody led, and so nobody gave orders, before a group's first term.
+# No earlier leader can have given orders before a group's first term.
 FIRST_TERM = 1
-# A new leader gives no order for this long. The one before may have
-# given its last just as it lost the group; engines that do not look at
-# fencing numbers would take orders from both in turn.
+# A new leader gives no order for this long. The previous leader may have
+# given an order just before it lost its lease, and engines that ignore
+# fencing numbers would take orders from both leaders.
 QUIET_AFTER_ELECTION_S = 3.5
-# An order that got no answer may be carried out seconds later. Only
-# after this long without the stage that it asked for is it given again.
-ORDER_LAPSES_S = 14.0
-# Runners are added one by one; deciding on the first would shift one
-# that the next makes needless. Heartbeats come every 1.2 s, so this is
-# one of each. Runners that leave are not waited for: with the last
-# reader gone, decode runners read prompts between their tokens.
+# A runner may carry out an order seconds after the order timed out. The
+# order is repeated only if the runner has not changed after this time.
+ORDER_EXPIRES_S = 14.0
+# Orders wait until no runner has been added or changed for this long.
+# Runners are added one after another, and an order given after the first
+# may be unnecessary after the next. Heartbeats are sent every 1.2 s, so
+# each runner sends one in this time. Runners that leave cause no wait:
+# without prefill runners, decode runners prefill between their tokens.
 SETTLE_S = 1.4
-# At the start of a fleet they come within seconds of each other, and a
-# heartbeat that found nobody to take it is sent again only with the next.
-FOUNDING_S = 5.0
-FOUNDING_SETTLE_S = 2.6
+# A longer wait while a fleet starts: its runners start within seconds of
+# each other, and a runner whose heartbeat is lost repeats it only after a
+# heartbeat period.
+FLEET_START_S = 5.0
+FLEET_START_SETTLE_S = 2.6
 HTTP_ACCEPTED = 202
 
 
 class StageOrders:
-    """Orders runners to their stages, a few at a time.
+    """Orders runners to change stage, a few at a time.
 
     Parameters
     ----------
     holder : str
         Name of this host in orders.
     codec : OrderCodec
-        Writes orders.
+        Encodes orders.
     http : Caller
         Calls runners.
     """
@@ -64,11 +66,11 @@
         self._quiet_until_s = 0.0
         self._ordered_s: dict[str, float] = {}
         self._accepted: set[str] = set()
-        self._asked: set[str] = set()
-        self._asking: set[str] = set()
-        self._known: dict[str, dict[str, str]] = {}
+        self._queried: set[str] = set()
+        self._querying: set[str] = set()
+        self._states: dict[str, dict[str, str]] = {}
         self._first_s: dict[str, float] = {}
-        # Since when a change has been wanted, by service.
+        # Time since which a change has been wanted, by service.
         self._wanted_s: dict[str, float] = {}
         self._changed_s: dict[str, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -77,23 +79,23 @@
         return f'{type(self).__name__}(ordered={self._ordered_s!r})'
 
     def begin_term(self, term: int, now_s: float) -> None:
-        """Begin to give orders, with the term as fencing number."""
+        """Start giving orders, with the term as fencing number."""
         self._fence = term
         self._quiet_until_s = now_s
         if term > FIRST_TERM:
             self._quiet_until_s += QUIET_AFTER_ELECTION_S
         self._ordered_s.clear()
         self._accepted.clear()
-        self._asked.clear()
-        self._asking.clear()
+        self._queried.clear()
+        self._querying.clear()
         self._wanted_s.clear()
 
     def changing(self) -> frozenset[str]:
-        """Return the runners that are changing their stage now.
+        """Return the runners that are changing stage now.
 
-        They refuse what they are sent for the time of a change, and are
-        announced as they were until it is over. Of an order that got no
-        answer nothing is known; its runner is not counted.
+        A runner refuses requests during a change and announces its old
+        stage until the change is complete. A runner whose order got no
+        response is left out, because its state is unknown.
         """
         return frozenset(self._accepted.intersection(self._ordered_s))
 
@@ -106,27 +108,37 @@
         gone_s: typing.Mapping[str, float] | None = None,
         rates: stage_rates.StageRates | None = None,
     ) -> None:
-        """Give the next order that a service's split of stages asks for.
+        """Give the next order towards a service's wanted split of stages.
 
-        ``gone_s`` tells for how long runners have seemed gone, ``rates``
-        what was measured of its streams.
+        Parameters
+        ----------
+        service : Service
+            The service.
+        runners : sequence of RunnerInfo
+            All its runners.
+        now_s : float
+            A monotonic clock.
+        gone_s : mapping of str to float, optional
+            For how long runners have been unresponsive, by identity.
+        rates : StageRates, optional
+            Measured rates of the service's streams.
         """
         assert service.engine is not None
-        self._ask_once(service.name, runners, now_s)
+        self._query_once(service.name, runners, now_s)
         settled = self._is_settled(service.name, runners, now_s)
         if not settled or now_s < self._quiet_until_s:
             return
-        if service.name in self._asking:
+        if service.name in self._querying:
             return
-        away_s = service.engine.stage_change_s
-        lapses_s = max(ORDER_LAPSES_S, 2 * away_s)
+        change_s = service.engine.stage_change_s
+        expires_s = max(ORDER_EXPIRES_S, 2 * change_s)
         for runner_id, at_s in list(self._ordered_s.items()):
-            if now_s - at_s > lapses_s:
+            if now_s - at_s > expires_s:
                 del self._ordered_s[runner_id]
         changing = [
-            one.runner_id
-            for one in runners
-            if one.runner_id in self._ordered_s
+            runner.runner_id
+            for runner in runners
+            if runner.runner_id in self._ordered_s
         ]
         gone_s = gone_s or {}
         change = stage_split.next_change(
@@ -140,69 +152,74 @@
             self._wanted_s.pop(service.name, None)
             return
         wanted_s = self._wanted_s.setdefault(service.name, now_s)
-        writers = stage_split.writers_after(change, runners, gone_s=gone_s)
-        if now_s - wanted_s < stage_split.wait_s(change, writers):
+        decode_runners = stage_split.writers_after(
+            change, runners, gone_s=gone_s
+        )
+        if now_s - wanted_s < stage_split.wait_s(change, decode_runners):
             return
         target = next(
-            one for one in runners if one.runner_id == change.runner_id
+            runner
+            for runner in runners
+            if runner.runner_id == change.runner_id
         )
         self._wanted_s.pop(service.name, None)
         self._ordered_s[target.runner_id] = now_s
         self._accepted.discard(target.runner_id)
         self._run(self._order(target, change, rates))
 
-    def _ask_once(
+    def _query_once(
         self,
         service: str,
         runners: typing.Sequence[runner_info.RunnerInfo],
         now_s: float,
     ) -> None:
-        """Ask runners, once a term, whether they change their stage.
+        """Query all runners, once a term, whether they are changing stage.
 
-        The leader before may have ordered one: it is away for up to ten
-        seconds, as it ends its streams first. A leader that does not
-        know orders another one, and two of three runners read prompts.
+        The previous leader may have ordered a change, which takes up to ten
+        seconds because a runner ends its streams first. Without the query,
+        a new leader orders a second runner to change, and two of three
+        runners become prefill runners.
         """
-        if self._fence <= FIRST_TERM or service in self._asked:
+        if self._fence <= FIRST_TERM or service in self._queried:
             return
-        self._asked.add(service)
-        self._asking.add(service)
-        ready = [one for one in runners if one.ready]
-        self._run(self._ask_all(service, ready, now_s))
+        self._queried.add(service)
+        self._querying.add(service)
+        ready = [runner for runner in runners if runner.ready]
+        self._run(self._query_all(service, ready, now_s))
 
-    async def _ask_all(
+    async def _query_all(
         self,
         service: str,
         runners: typing.Sequence[runner_info.RunnerInfo],
         now_s: float,
     ) -> None:
         try:
-            answers = await asyncio.gather(
-                *(self._is_busy(one) for one in runners)
+            replies = await asyncio.gather(
+                *(self._is_busy(runner) for runner in runners)
             )
         finally:
-            self._asking.discard(service)
-        for one, is_busy in zip(runners, answers, strict=True):
+            self._querying.discard(service)
+        for runner, is_busy in zip(runners, replies, strict=True):
             if not is_busy:
                 continue
-            self._ordered_s[one.runner_id] = now_s
-            self._accepted.add(one.runner_id)
+            self._ordered_s[runner.runner_id] = now_s
+            self._accepted.add(runner.runner_id)
             LOG.info(
-                'changes its stage by an earlier order',
-                extra={'runner': one.runner_id, 'fence': self._fence},
+                'runner is changing stage by an earlier order',
+                extra={'runner': runner.runner_id, 'fence': self._fence},
             )
 
     async def _is_busy(self, runner: runner_info.RunnerInfo) -> bool:
-        question = self._codec.busy_request(runner.runner_id)
+        request = self._codec.busy_request(runner.runner_id)
         got = await self._http.call(
-            method=question.method,
-            url=f'http://{runner.address}{question.path}',
-            headers=question.headers,
+            method=request.method,
+            url=f'http://{runner.address}{request.path}',
+            headers=request.headers,
             timeout_s=ORDER_TIMEOUT_S,
         )
         if isinstance(got, call_failed.CallFailed) or not got.ok:
             LOG.info(
-                'a runner does not say whether it changes its stage',
+                'no reply from a runner to the stage change query',
                 extra={'runner': runner.runner_id, 'fence': self._fence},
             )
             return False
@@ -210,13 +227,13 @@
             return self._codec.parse_busy(got.body)
         except ValueError as exc:
             LOG.warning(
-                'a report could not be read',
+                'invalid reply from a runner to the stage change query',
                 extra={'runner': runner.runner_id, 'cause': str(exc)},
             )
             return False
 
-    def _run(self, work: typing.Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
+    def _run(self, coroutine: typing.Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -226,25 +243,28 @@
         runners: typing.Sequence[runner_info.RunnerInfo],
         now_s: float,
     ) -> bool:
-        # An order that a runner's earlier life accepted died with it.
-        known = {
-            one.runner_id: f'{one.ready} {one.stage} {one.started_ms}'
-            for one in runners
+        # The start time is part of the state, because a runner that restarts
+        # no longer carries out the order that it accepted before.
+        states = {
+            runner.runner_id: (
+                f'{runner.ready} {runner.stage} {runner.started_ms}'
+            )
+            for runner in runners
         }
-        before = self._known.get(service, {})
+        before = self._states.get(service, {})
         for runner_id in list(self._ordered_s):
-            if before.get(runner_id) != known.get(runner_id):
+            if before.get(runner_id) != states.get(runner_id):
                 del self._ordered_s[runner_id]
-        here = {one.runner_id for one in runners if one.ready}
-        if any(before.get(one) != known[one] for one in here):
+        ready = {runner.runner_id for runner in runners if runner.ready}
+        if any(before.get(name) != states[name] for name in ready):
             self._changed_s[service] = now_s
-        if service not in self._known:
+        if service not in self._states:
             self._first_s[service] = now_s
-        self._known[service] = known
+        self._states[service] = states
         wait_s = SETTLE_S
         changed_s = self._changed_s.get(service, now_s)
-        if changed_s - self._first_s[service] < FOUNDING_S:
-            wait_s = FOUNDING_SETTLE_S
+        if changed_s - self._first_s[service] < FLEET_START_S:
+            wait_s = FLEET_START_SETTLE_S
         return now_s - changed_s >= wait_s
 
     async def _order(
@@ -285,7 +305,7 @@
 
 
 def _rounded(rates: stage_rates.StageRates | None) -> dict[str, int]:
-    """Return what a split was decided by, for the log."""
+    """Return the rates that a split was decided by, rounded for the log."""
     if rates is None:
         return {}
     return {
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""How the leader takes in events and decides on them."""
+"""Scheduling of streams by the leading control host."""
 
 import asyncio
 import types
@@ -17,7 +17,7 @@
 
 
 class Replica:
-    """A leader whose lease may end."""
+    """A leader's replica whose lease can end."""
 
     term = 1
 
@@ -64,12 +64,12 @@
         self.dispatcher = dispatcher_module.Dispatcher(node=node, codec=codec)
 
     async def place(self, name, **fields):
-        ask = builders.make_ask(name, **fields)
-        return await self.dispatcher.request_placement(ask)
+        request = builders.make_ask(name, **fields)
+        return await self.dispatcher.request_placement(request)
 
 
 def count_decisions(monkeypatch):
-    """Return a list that gets an item for each decision."""
+    """Return a list to which each scheduling pass appends an item."""
     decisions = []
     decide = stream_scheduler.StreamScheduler.decide
 
@@ -82,18 +82,20 @@
 
 
 def play(monkeypatch, work):
-    monkeypatch.setattr(dispatcher_module, 'ADOPT_S', 0.0)
+    monkeypatch.setattr(dispatcher_module, 'RESTORE_PERIOD_S', 0.0)
     return asyncio.run(work(Leader()))
 
 
-def test_what_comes_at_one_moment_is_decided_once(monkeypatch):
-    """Each of a hundred requests had all others worked out again."""
+def test_requests_of_one_loop_iteration_share_one_decision(monkeypatch):
+    """Guards against a full scheduling pass for every single request."""
     decisions = count_decisions(monkeypatch)
 
     async def work(leader):
-        asks = [leader.place(f's{n}', output_tokens=500) for n in range(100)]
-        return await asyncio.wait_for(asyncio.gather(*asks[:2]), 2.0), [
-            one.close() for one in asks[2:]
+        requests = [
+            leader.place(f's{n}', output_tokens=500) for n in range(100)
+        ]
+        return await asyncio.wait_for(asyncio.gather(*requests[:2]), 2.0), [
+            request.close() for request in requests[2:]
         ]
 
     answers, _ = play(monkeypatch, work)
@@ -101,51 +103,51 @@
     assert decisions == [2]
 
 
-def test_a_decision_leaves_the_loop_to_others_before_the_rest(monkeypatch):
-    """Heartbeats waited until a whole burst was placed."""
+def test_a_long_decision_yields_to_other_tasks(monkeypatch):
+    """Guards against heartbeats delayed until a whole burst is placed."""
     monkeypatch.setattr(stream_scheduler, 'MOST_ROOM_CHECKS', 1)
     decisions = count_decisions(monkeypatch)
     ticks = []
 
     async def work(leader):
-        asks = [
+        tasks = [
             asyncio.create_task(leader.place(f's{n}', output_tokens=500))
             for n in range(3)
         ]
-        while not all(one.done() for one in asks):
+        while not all(task.done() for task in tasks):
             ticks.append(len(decisions))
             await asyncio.sleep(0)
-        return [one.result() for one in asks]
+        return [task.result() for task in tasks]
 
     answers = play(monkeypatch, work)
     assert len(answers) == 3
     assert len(decisions) > 1
-    # Other work ran after each of the decisions.
+    # Other tasks ran after each decision.
     assert set(range(1, len(decisions))) <= set(ticks)
 
 
 def test_nothing_is_placed_after_the_lease_has_ended(monkeypatch):
-    """Two hosts would fill the same runners."""
+    """Guards against two hosts that place streams at the same runners."""
 
     async def work(leader):
-        ask = asyncio.create_task(leader.place('s'))
+        task = asyncio.create_task(leader.place('s'))
         await asyncio.sleep(0)
         leader.replica.leads = False
         await asyncio.sleep(0.05)
-        return ask.done(), ask.cancel()
+        return task.done(), task.cancel()
 
     is_done, _ = play(monkeypatch, work)
     assert not is_done
 
 
-def test_rows_are_read_again_only_when_they_change(monkeypatch):
-    """All rows were parsed for each announcement of one runner."""
-    read = []
-    plain = runner_info.from_detail
+def test_rows_are_parsed_again_only_when_they_change(monkeypatch):
+    """Guards against parsing all rows when one runner announces itself."""
+    parsed = []
+    original = runner_info.from_detail
 
     def counted(**fields):
-        read.append(fields['runner_id'])
-        return plain(**fields)
+        parsed.append(fields['runner_id'])
+        return original(**fields)
 
     monkeypatch.setattr(runner_info, 'from_detail', counted)
 
@@ -157,7 +159,7 @@
         await leader.place('s2')
 
     play(monkeypatch, work)
-    assert read == ['p', 'd0', 'd1', 'd0']
+    assert parsed == ['p', 'd0', 'd1', 'd0']
 
 
 def test_a_request_that_waits_is_answered_by_the_next_release(monkeypatch):
@@ -166,20 +168,23 @@
         for n in range(24):
             first.append(await leader.place(f's{n}', output_tokens=300))
             leader.dispatcher.note_prefill_done('model', f's{n}', 0)
-        waits = asyncio.create_task(leader.place('next', target_s=9.0))
+        waiting = asyncio.create_task(leader.place('next', target_s=9.0))
         await asyncio.sleep(0.02)
-        assert not waits.done()
+        assert not waiting.done()
         leader.dispatcher.release(
             'model', placement.Release(request_id=first[0].request_id)
         )
-        return await asyncio.wait_for(waits, 1.0)
+        return await asyncio.wait_for(waiting, 1.0)
 
     assert isinstance(play(monkeypatch, work), placement.Placement)
 
 
-# Guards against streams that wait until their callers leave at a host which
-# leads no more.
-def test_who_waits_is_told_at_once_when_the_lease_ends():
+def test_waiting_requests_are_resolved_when_the_lease_ends():
+    """Guards against streams that wait at a host that lost its lease.
+
+    They would wait there until their callers disconnect.
+    """
+
     async def work():
         leader = Leader()
         waiting = [
--- a/tests/dispatch/test_late_orders.py
+++ b/tests/dispatch/test_late_orders.py
@@ -1,4 +1,4 @@
-"""Orders that get no answer and are carried out seconds later."""
+"""Orders that time out and are carried out seconds later."""
 
 import asyncio
 import json
@@ -13,12 +13,12 @@
 from tests.routing import builders
 
 TICK_S = 0.05
-AWAY_S = builders.ENGINE.stage_change_s
+CHANGE_S = builders.ENGINE.stage_change_s
 PLAYED_S = 80.0
 
 
 class LateRunners:
-    """Runners that answer some orders only by what they do later."""
+    """Runners that carry out some orders late and without a response."""
 
     def __init__(self, stages, delays_s):
         self.stages = {f'r{n}': stage for n, stage in enumerate(stages)}
@@ -33,7 +33,7 @@
         port = int(url.split(':')[2].split('/')[0])
         stage = json.loads(body)['stage']
         delay_s = self.delays_s.pop(0) if self.delays_s else 0.0
-        done_s = self.now_s + delay_s + AWAY_S
+        done_s = self.now_s + delay_s + CHANGE_S
         self.changes.append((done_s, f'r{port - 1}', stage))
         if delay_s:
             return call_failed.CallFailed(
@@ -42,24 +42,24 @@
         return reply.Reply(status=202, headers={}, body=b'')
 
     def announced(self):
-        due = [one for one in self.changes if one[0] <= self.now_s]
-        for one in due:
-            self.changes.remove(one)
-            _, name, stage = one
-            for known in (builders.PREFILL, builders.DECODE):
-                if known.value == stage:
-                    self.stages[name] = known
+        due = [change for change in self.changes if change[0] <= self.now_s]
+        for change in due:
+            self.changes.remove(change)
+            _, name, stage_name = change
+            for stage in (builders.PREFILL, builders.DECODE):
+                if stage.value == stage_name:
+                    self.stages[name] = stage
         return [
             builders.make_runner(name, stage, port=n + 1)
             for n, (name, stage) in enumerate(self.stages.items())
         ]
 
-    def readers(self):
+    def prefill_runners(self):
         return list(self.stages.values()).count(builders.PREFILL)
 
 
 def play(runners):
-    """Keep the runners' stages for a while."""
+    """Reconcile the runners' stages for `PLAYED_S` seconds."""
 
     async def work():
         controller = stage_orders.StageOrders(
@@ -78,33 +78,33 @@
 @hypothesis.settings(max_examples=40, deadline=None)
 @hypothesis.given(
     delays_s=st.lists(st.sampled_from([0.0, 2.0, 7.0, 12.0]), max_size=4),
-    readers=st.integers(2, 4),
+    prefill_count=st.integers(2, 4),
 )
-def test_late_orders_settle_and_never_take_the_last_reader(delays_s, readers):
-    """A worker leaves orders unanswered and carries them out later.
+def test_late_orders_settle_and_keep_a_prefill_runner(delays_s, prefill_count):
+    """Guards against orders that a runner carries out after a timeout.
 
-    Taken for lost, an order is given to another runner as well. Both
-    change in the end, nobody reads prompts any more, and the next order
-    back takes a third runner away for six seconds.
+    If a timed-out order is given to another runner too, both runners
+    change, no prefill runner is left, and the order that corrects this
+    makes a third runner unavailable for six seconds.
     """
-    stages = [builders.PREFILL] * readers + [builders.DECODE]
+    stages = [builders.PREFILL] * prefill_count + [builders.DECODE]
     runners = LateRunners(stages, delays_s)
     play(runners)
-    # Of five runners with places for twelve streams, two readers keep
-    # three writers busy.
-    wanted = 2 if readers == 4 else 1
-    assert runners.readers() == wanted
+    # Of five runners with twelve slots each, two prefill runners keep three
+    # decode runners busy.
+    wanted = 2 if prefill_count == 4 else 1
+    assert runners.prefill_runners() == wanted
     assert not runners.changes
-    given_again = _given_again(delays_s, runners)
-    assert runners.given <= readers - wanted + given_again
+    repeated = _repeated_orders(delays_s, runners)
+    assert runners.given <= prefill_count - wanted + repeated
 
 
-def _given_again(delays_s, runners):
+def _repeated_orders(delays_s, runners):
     """Return how many late orders may be given a second time.
 
-    One that comes into effect after the time at which it lapses is
-    given again, to the same runner; that changes nothing.
+    An order that takes effect after it expires is repeated to the same
+    runner, which changes nothing.
     """
-    lapses_s = max(stage_orders.ORDER_LAPSES_S, 2 * AWAY_S)
+    expires_s = max(stage_orders.ORDER_EXPIRES_S, 2 * CHANGE_S)
     used = delays_s[: len(delays_s) - len(runners.delays_s)]
-    return sum(delay_s + AWAY_S > lapses_s for delay_s in used)
+    return sum(delay_s + CHANGE_S > expires_s for delay_s in used)
--- a/tests/dispatch/test_leader_keeps_its_term.py
+++ b/tests/dispatch/test_leader_keeps_its_term.py
@@ -1,7 +1,7 @@
-"""A control group whose leader is charged for what it decides.
+"""A control group whose leader spends simulated CPU time on scheduling.
 
-Pattern: a burst on a large fleet, all of whose streams are placed by the
-host that also keeps the group's lease.
+Load pattern: a burst on a large fleet, where the host that places all
+streams also has to renew the group's leader lease.
 """
 
 import pytest
@@ -12,12 +12,12 @@
 
 STREAMS_PER_S = 120
 SECONDS = 3
-# Ten lines of the scheduler take a microsecond.
+# The scheduler runs ten lines in a microsecond.
 LINES_PER_S = 10_000_000
 
 
 class BusyLeader:
-    """Plays a group, and a fleet of which its leader decides."""
+    """Simulates a group whose leader places the streams of a fleet."""
 
     def __init__(self, runners):
         self.cluster = cluster_module.Cluster(5, 7)
@@ -27,7 +27,7 @@
         self.busy_until_s = 0.0
 
     def play(self):
-        """Play the burst; return whether the leader kept its lease."""
+        """Simulate the burst and return whether the leader kept its term."""
         steps = round(SECONDS / cluster_module.MICRO_STEP_S)
         for _ in range(steps):
             if self.cluster.now_s >= self.busy_until_s:
@@ -46,7 +46,7 @@
         return True
 
     def _decide(self):
-        """Decide what comes in one step; return the lines it took."""
+        """Schedule the streams of one step and return the lines executed."""
         counter = work_counter.WorkCounter()
         with counter.counting():
             for _ in range(round(STREAMS_PER_S * cluster_module.MICRO_STEP_S)):
@@ -59,5 +59,8 @@
 
 @pytest.mark.parametrize('runners', [45, 200])
 def test_a_burst_does_not_end_the_leaders_term(runners):
-    """The leader's lease ran out while it placed streams, eleven times."""
+    """Guards against a lease that expires while the leader places streams.
+
+    The lease expired eleven times in this way.
+    """
     assert BusyLeader(runners).play()
--- a/tests/dispatch/test_placement_handlers.py
+++ b/tests/dispatch/test_placement_handlers.py
@@ -21,7 +21,7 @@
     pause_s=0.2,
     read_tokens_per_s=25_000.0,
 )
-# What an entry host of an earlier release takes.
+# Fields that entry hosts of an earlier release accept.
 KNOWN_FIELDS = {'request_id', 'decode_id', 'prefill_id'}
 
 
@@ -36,9 +36,9 @@
 
 
 def with_leader(work):
-    """Run something with the address of a leader that places all."""
+    """Run a coroutine with the address of a leader that places all streams."""
 
-    async def story():
+    async def run():
         args = {'dispatcher': Dispatcher()}
         app = web.Application(
             [('/v1/places', placement_handlers.PlacementHandler, args)]
@@ -51,12 +51,15 @@
         finally:
             server.stop()
 
-    return asyncio.run(story())
+    return asyncio.run(run())
 
 
-# Guards against a placement that hosts of an earlier release cannot read,
-# so that each of them places its streams by itself.
 def test_a_placement_has_no_field_that_earlier_releases_do_not_know():
+    """Guards against a placement that earlier releases cannot parse.
+
+    Their entry hosts would then place their streams locally.
+    """
+
     async def work(url):
         return await caller.Caller().call(
             method='POST',
@@ -68,7 +71,7 @@
     assert set(with_leader(work).json()) == KNOWN_FIELDS
 
 
-def test_a_host_hears_the_forecast_of_its_placement():
+def test_a_host_receives_the_forecast_of_its_placement():
     async def work(url):
         client = scheduler_client.SchedulerClient(http=caller.Caller())
         client.follow(url)
@@ -77,7 +80,7 @@
     assert with_leader(work).forecast == EXPECTED
 
 
-# Guards against the same when a later release says more.
-def test_a_forecast_with_more_in_it_is_understood():
+def test_a_forecast_with_unknown_fields_is_decoded():
+    """Guards against a decoder that rejects fields of a later release."""
     text = forecast_header.encode(EXPECTED).replace('{', '{"more": 1, ', 1)
     assert forecast_header.decode(text) == EXPECTED
--- a/tests/dispatch/test_stage_orders.py
+++ b/tests/dispatch/test_stage_orders.py
@@ -1,4 +1,4 @@
-"""Orders to runners: one holder, one at a time, after a quiet time."""
+"""Orders to runners: given by one leader, one at a time, after a delay."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 
 
 class Calls:
-    """Stands in for the client and keeps what was ordered."""
+    """Replaces the HTTP client and records the orders."""
 
     def __init__(self):
         self.bodies = []
@@ -40,7 +40,7 @@
 
 
 def play(calls, given, *, term=1, seconds=20.0, services=('model',)):
-    """Look at the fleets every 50 ms, as the dispatcher does."""
+    """Reconcile the fleets every 50 ms, as the dispatcher does."""
 
     async def work():
         controller = make_orders(calls)
@@ -56,7 +56,7 @@
     asyncio.run(work())
 
 
-def test_one_reader_too_many_is_ordered_to_write_with_the_term_as_fence():
+def test_a_surplus_prefill_runner_is_ordered_to_decode_with_the_term():
     calls = Calls()
     runners = fleet(builders.PREFILL, builders.PREFILL, builders.DECODE)
     play(calls, {'model': runners}, term=7, seconds=10)
@@ -66,10 +66,11 @@
 
 
 def test_a_new_leader_gives_no_order_for_longer_than_a_lease():
-    """The leader before may have given its last order just now.
+    """Guards against runners that obey two leaders in turn.
 
-    Engines that do not look at fencing numbers would take orders of
-    both in turn, and runners would change back and forth.
+    The previous leader may have given an order just before it lost its
+    lease. Engines that ignore fencing numbers would follow both leaders and
+    change back and forth.
     """
     calls = Calls()
     runners = fleet(builders.PREFILL, builders.PREFILL, builders.DECODE)
@@ -79,8 +80,8 @@
     assert len(calls.bodies) == 1
 
 
-def test_an_order_without_effect_is_given_again_only_after_long():
-    """It may have got no answer and be carried out seconds later."""
+def test_an_order_without_effect_is_given_again_only_after_it_expires():
+    """A runner may carry out an order seconds after it timed out."""
     calls = Calls()
     runners = fleet(builders.PREFILL, builders.PREFILL, builders.DECODE)
     play(calls, {'model': runners}, seconds=13)
@@ -91,7 +92,11 @@
 
 
 def test_two_services_do_not_unsettle_each_other():
-    """With one memory for all services, none of them ever settled."""
+    """Guards against state shared by all services.
+
+    With shared state, the fleet of each service seemed to change in every
+    pass, and no service ever settled.
+    """
     calls = Calls()
     many = (builders.PREFILL, builders.PREFILL, builders.DECODE)
     given = {'one': fleet(*many), 'two': fleet(*many, prefix='s')}
@@ -100,10 +105,11 @@
 
 
 def test_a_runner_counts_as_changing_until_it_announces_its_new_stage():
-    """For six seconds it refuses all, and its heartbeats say as before.
+    """Guards against placing streams at a runner that is changing stage.
 
-    Given work all the while, it refused some ten prompts and streams,
-    each of which had to find another place.
+    For six seconds the runner refuses all requests while its heartbeats
+    still announce the old stage. It refused about ten prompts and streams,
+    each of which had to be placed again.
     """
 
     async def work():
@@ -127,11 +133,13 @@
     assert seen[8.05] == frozenset()
 
 
-def test_runners_that_announce_themselves_late_spare_an_order():
-    """Of four runners, the two readers are heard of 2.4 s after the rest.
+def test_no_order_is_given_before_late_runners_have_announced_themselves():
+    """Guards against orders based on a part of a starting fleet.
 
-    Decided on the first two, one of them was ordered to read and back
-    again: away for twelve seconds, five of them with callers waiting.
+    Of four runners, the two prefill runners announce themselves 2.4 s after
+    the decode runners. A decision on the first two ordered one of them to
+    prefill and back: it was unavailable for twelve seconds, and callers
+    waited for five of them.
     """
 
     async def work():
@@ -154,7 +162,7 @@
 
 
 class Reports(Calls):
-    """Answers questions for reports, too."""
+    """Also answers the query for a stage change."""
 
     def __init__(self, busy=()):
         super().__init__()
@@ -171,12 +179,13 @@
         )
 
 
-def test_a_new_leader_learns_of_a_change_that_it_did_not_order():
-    """A leader orders the second reader to write and is killed.
+def test_a_new_leader_finds_a_change_that_it_did_not_order():
+    """Guards against a second change while the first is in progress.
 
-    The runner ends its streams first and is away for ten seconds. The
-    next leader saw two readers and none that changes, ordered the other
-    one too, and for ten seconds nobody read.
+    A leader orders the second prefill runner to decode and is killed. The
+    runner ends its streams first, which takes ten seconds. The next leader
+    saw two prefill runners and no change, and ordered the other one too:
+    for ten seconds there was no prefill runner.
     """
 
     async def work(calls):
@@ -196,12 +205,13 @@
     assert len(calls.bodies) == 1
 
 
-def test_the_last_reader_that_leaves_is_replaced_soon():
-    """A release replaces all runners, and the new ones write.
+def test_the_last_prefill_runner_that_leaves_is_replaced_soon():
+    """Guards against runners that leave and thereby delay an order.
 
-    Each old one that was gone for good started the wait anew, and the
-    order came 6.2 s after the last reader had left: 30 streams of others
-    paused meanwhile as decode runners read prompts.
+    A release replaces all runners, and the new ones decode. Each old runner
+    that was removed restarted the settle time, so the order came 6.2 s
+    after the last prefill runner had left. Meanwhile 30 streams paused
+    because decode runners had to prefill.
     """
 
     async def work():
@@ -209,14 +219,14 @@
         controller = make_orders(calls)
         controller.begin_term(1, 0.0)
         decode = builders.DECODE
-        reader = builders.make_runner('p', builders.PREFILL)
+        prefill = builders.make_runner('p', builders.PREFILL)
         left = builders.make_runner('p', builders.PREFILL, ready=False)
         others = fleet(decode, decode, decode)
         old = fleet(decode, decode, prefix='old')
         for tick in range(400):
             now_s = tick * 0.05
-            runners = [*others, reader if now_s < 10.0 else left]
-            # One of the old ones is forgotten every second.
+            runners = [*others, prefill if now_s < 10.0 else left]
+            # Every second one of the old runners is removed.
             runners += [
                 builders.make_runner(one.runner_id, decode, ready=False)
                 for n, one in enumerate(old)
@@ -254,39 +264,43 @@
     return asyncio.run(work())
 
 
-def two_writers_and_a_reader_that_leaves(now_s):
-    writers = fleet(builders.DECODE, builders.DECODE)
+def two_decode_runners_and_a_prefill_runner_that_leaves(now_s):
+    decode_runners = fleet(builders.DECODE, builders.DECODE)
     ready = now_s < 10.0
     return [
-        *writers,
+        *decode_runners,
         builders.make_runner('p', builders.PREFILL, ready=ready),
     ]
 
 
-def test_of_two_writers_none_is_taken_away_at_once():
-    """The reader leaves, and half a second later a writer crashes.
+def test_neither_of_two_decode_runners_is_ordered_to_prefill_at_once():
+    """Guards against an order that leaves no decode runner.
 
-    The order of the moment between took the other writer away for
-    eleven seconds, and nobody wrote until a runner had changed back.
+    The prefill runner leaves, and half a second later a decode runner
+    crashes. An order given in between made the other decode runner
+    unavailable for eleven seconds, and no stream was decoded until a runner
+    had changed back.
     """
-    at_s, stage = first_order(two_writers_and_a_reader_that_leaves)
+    at_s, stage = first_order(
+        two_decode_runners_and_a_prefill_runner_that_leaves
+    )
     assert stage == 'prefill'
     assert 13.9 < at_s < 14.3
 
 
-def test_the_last_writer_that_answers_is_not_taken_away():
-    """The other one is dark, and its registration stands."""
+def test_the_last_responsive_decode_runner_keeps_its_stage():
+    """The other decode runner is unresponsive but still registered."""
     assert not first_order(
-        two_writers_and_a_reader_that_leaves,
+        two_decode_runners_and_a_prefill_runner_that_leaves,
         gone_at=lambda now_s: {'r1': 1.0} if now_s > 10.5 else {},
     )
 
 
-def test_a_reader_writes_where_no_writer_comes_back():
-    """The only writer is gone for good, and its registration stands.
+def test_a_prefill_runner_decodes_where_no_decode_runner_comes_back():
+    """Guards against an idle prefill runner while all callers are refused.
 
-    The reader that was left has nobody to read for: without an order it
-    stood idle while every caller was refused.
+    The only decode runner is gone for good but still registered, so the
+    prefill runner has no work until it is ordered to decode.
     """
     at_s, stage = first_order(
         lambda now_s: fleet(builders.PREFILL, builders.DECODE),
--- a/tests/dispatch/test_started_again.py
+++ b/tests/dispatch/test_started_again.py
@@ -1,4 +1,4 @@
-"""Runners that start again under the identity that they had."""
+"""Runners that restart under the same identity."""
 
 import asyncio
 
@@ -14,12 +14,12 @@
     return placement.Release(request_id=name, failed=(failed,))
 
 
-def test_a_started_runner_has_all_its_places_again():
-    """A runner crashes with all its places taken and is back at once.
+def test_a_restarted_runner_has_all_its_slots_free():
+    """Guards against reservations that outlive a runner's crash.
 
-    Its streams' hosts tell of their ends one by one. Counted until
-    then, the streams of its earlier life keep new ones out of a runner
-    that has nothing to do.
+    A runner crashes with all slots in use and restarts at once. Entry hosts
+    report the ends of its streams one by one; until then, the reservations
+    of the old process would keep new streams from an idle runner.
     """
     scheduler = stream_scheduler.StreamScheduler(engine=builders.ENGINE)
     runner = builders.make_runner('d1')
@@ -32,7 +32,7 @@
     assert scheduler.held == 0
 
 
-def test_failures_of_an_earlier_life_keep_no_runner_at_rest():
+def test_failures_before_a_restart_do_not_eject_a_runner():
     scheduler = stream_scheduler.StreamScheduler(engine=builders.ENGINE)
     runners = [builders.make_runner('d1')]
     for n in range(4):
@@ -45,7 +45,7 @@
 
 
 class Accepting:
-    """Takes every order and never carries one out."""
+    """Accepts every order and carries out none."""
 
     def __init__(self):
         self.given = 0
@@ -55,11 +55,12 @@
         return reply.Reply(status=202, headers={}, body=b'')
 
 
-def test_an_order_of_an_earlier_life_is_given_again():
-    """A runner accepts an order, crashes, and starts again as before.
+def test_an_order_is_given_again_after_a_restart():
+    """Guards against waiting for an order that a crash has cancelled.
 
-    The order died with it. Waited for, the runner would be taken to be
-    changing its stage for fourteen seconds and get no work.
+    A runner accepts an order, crashes and restarts in its old stage. If the
+    order still counted, the runner would be considered changing for
+    fourteen seconds and get no requests.
     """
 
     async def work():
