--- a/limpetroute/control/command_submitter.py
+++ b/limpetroute/control/command_submitter.py
@@ -49,7 +49,7 @@
     http : Caller
         Calls the leader.
     parse_services : callable
-        Returns the services that a routing configuration names.
+        Returns the names of the services in a routing configuration.
     """
 
     def __init__(
--- a/limpetroute/control/http_claim_store.py
+++ b/limpetroute/control/http_claim_store.py
@@ -1,4 +1,4 @@
-"""The claim book that asks the control hosts."""
+"""A claim store that calls the control hosts."""
 
 import asyncio
 import logging
@@ -14,11 +14,11 @@
 
 
 class HttpClaimStore:
-    """The claim book that asks the control hosts.
+    """A claim store that calls the control hosts.
 
-    A grant whose answer was lost is withdrawn before its key may be
-    claimed here again: the caller was told ``not_run``, and must not
-    find its own dead claim for ever.
+    If the response to a claim is lost, the claim is withdrawn before its
+    key can be claimed here again. The caller got ``not_run``, and without
+    the withdrawal each retry would find its own unused claim.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
         holder: str,
         timeout_s: float,
     ) -> claim_store.ClaimResult:
-        """Claim a call before anything of it is sent."""
+        """Claim a call before any part of it is sent."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + timeout_s
         if not await self._withdrawn(team, key, timeout_s):
@@ -81,7 +81,7 @@
         body: str,
         timeout_s: float,
     ) -> bool:
-        """Write the outcome; return whether a quorum has it."""
+        """Write the call's response; return whether it was committed."""
         got = await self._client.post(
             path='/v1/claims/settle',
             body={'team': team, 'key': key, 'status': status, 'body': body},
@@ -92,7 +92,7 @@
         return got.status == 200 and bool(got.body.get('known'))
 
     async def close(self) -> None:
-        """Give up withdrawals in progress."""
+        """Cancel withdrawals in progress."""
         for task in self._withdrawals.values():
             task.cancel()
 
@@ -124,8 +124,8 @@
 
     def _withdraw(self, team: str, key: str, token: str) -> None:
         if len(self._withdrawals) >= MAX_WITHDRAWALS:
-            # The claim stays, and its key is answered as unknown: safe,
-            # and an operator can settle it.
+            # The claim stays in the log, and calls with its key get an
+            # unknown outcome. That is safe, and an operator can settle it.
             LOG.warning('too many claims to withdraw')
             return
         task = asyncio.create_task(self._try_withdraw(team, key, token))
--- a/limpetroute/control/identity.py
+++ b/limpetroute/control/identity.py
@@ -1,4 +1,4 @@
-"""Who a data folder's replica is."""
+"""The identity of a data folder's replica."""
 
 import json
 import logging
@@ -23,18 +23,17 @@
 ) -> str:
     """Return the identity of a data folder's replica.
 
-    An empty folder gets a new one. An empty disk has forgotten its
-    votes and acknowledgements; a host that answered under its former
-    identity could elect a second leader of a term, or make a quorum
-    without the entries that it once acknowledged. Only a group's first
-    replicas have an identity that is known beforehand, ``bootstrap_id``:
-    the one who passes it promises that this host was never part of the
-    group before.
+    An empty folder gets a new identity. Its votes and acknowledgements are
+    lost: under the former identity the host could help to elect a second
+    leader in one term, or be part of a quorum without entries that it has
+    acknowledged. Only a group's first replicas have a predefined identity,
+    ``bootstrap_id``; the caller may pass it only if this host was never
+    part of the group before.
 
     Raises
     ------
     FolderError
-        If the folder is another host's, or lost a part.
+        If the folder belongs to another host or lacks a file.
     """
     path = folder / IDENTITY
     data = files.read(path)
--- a/limpetroute/control/journal.py
+++ b/limpetroute/control/journal.py
@@ -33,8 +33,8 @@
 class Journal:
     """The journal that all groups of one process share.
 
-    One frame and one sync carry the writes of many steps and groups
-    (group commit). Snapshots are files of their own beside it.
+    One frame and one sync contain the writes of many steps and groups
+    (group commit). Snapshots are stored in separate files.
 
     Parameters
     ----------
@@ -43,7 +43,7 @@
     files : Files
         The file system.
     rewrite_bytes : int
-        Size from which the journal is written anew after a snapshot.
+        Size above which the journal is rewritten after a snapshot.
 
     Raises
     ------
@@ -77,34 +77,34 @@
     def saved(
         self, group: int, bootstrap: snapshot_module.Snapshot
     ) -> saved_state.SavedState:
-        """Return what a group's replica starts from.
+        """Return the state that a group's replica starts from.
 
         Parameters
         ----------
         group : int
             Number of the group.
         bootstrap : Snapshot
-            Stands in while the group has no snapshot of its own.
+            Used if the group has no snapshot of its own yet.
         """
         image = self._images.setdefault(group, group_image.GroupImage())
         return image.saved(self._snapshots.get(group, bootstrap))
 
     def write(self, batch: typing.Sequence[GroupWrites]) -> None:
-        """Write a batch; it is on disk on return.
+        """Write a batch, which is on disk on return.
 
         Raises
         ------
         OSError
-            If it is not. The journal takes no write after that.
+            If the write failed. All later writes fail too.
         """
         if self.broken:
-            raise OSError(f'journal given up: {self.broken}')
+            raise OSError(f'journal failed earlier: {self.broken}')
         try:
             self._write(batch)
         except OSError as exc:
-            # The kernel may mark pages clean that it failed to write,
-            # and a second sync of the same file would then succeed
-            # without them: this file is not used again.
+            # After a failed sync, the kernel may mark the unwritten pages
+            # clean. A second sync of the file would succeed without them,
+            # so this file is not used again.
             self.broken = str(exc)
             raise
 
@@ -204,10 +204,10 @@
         self._snapshots[group] = snapshot
 
     def _open(self) -> files_module.AppendFile:
-        """Write the journal anew and open it.
+        """Rewrite the journal and open it.
 
-        At start too: what was read may have come from the page cache
-        after a failed sync, and counts only once it is synced again.
+        This is also done at start: after a failed sync, the content may
+        have been read from the page cache and must be synced again.
         """
         parts = []
         for group, image in sorted(self._images.items()):
--- a/limpetroute/control/journal_writer.py
+++ b/limpetroute/control/journal_writer.py
@@ -77,7 +77,7 @@
                     self._thread, self._journal.write, batch
                 )
             except (OSError, ValueError) as exc:
-                LOG.error('journal: %s; this replica stops', exc)
+                LOG.error('journal: %s; this replica has failed', exc)
                 self._on_failed(f'disk: {exc}')
                 return
             self.syncs += 1
--- a/limpetroute/control/manifest_handler.py
+++ b/limpetroute/control/manifest_handler.py
@@ -8,7 +8,7 @@
 from limpetroute.control import commands
 from limpetroute.control import manifest_store
 
-LOOK_S = 0.05
+POLL_S = 0.05
 MAX_WAIT_S = 60.0
 
 
@@ -16,7 +16,7 @@
     """``POST`` and ``GET /v1/manifest``."""
 
     async def post(self) -> None:
-        """Decide on a manifest, and wait until hosts have it."""
+        """Submit a manifest, and wait until the entry hosts have it."""
         body = self.parse(manifest_module.ManifestBody)
         if body is None:
             return
@@ -56,11 +56,10 @@
         )
 
     async def get(self) -> None:
-        """Show the newest manifest, once it is above ``after``.
+        """Return the newest manifest, once its number is above ``after``.
 
-        An entry host gives ``host`` and ``number``, its own revision:
-        the call is its report too. With ``sure``, only the leader
-        answers.
+        Entry hosts pass ``host`` and ``number``, their own revision, which
+        is recorded as their report. With ``sure``, only the leader replies.
         """
         after = int(self._number('after', -1))
         wait_s = min(
@@ -86,7 +85,10 @@
         )
 
     def _is_sure(self) -> bool:
-        """Return whether this host's state holds all acknowledged."""
+        """Return whether this host's state is up to date.
+
+        If not, replies with the leader's URL.
+        """
         group = self.node.config
         if group.replica.can_read(self.node.now_s):
             return True
@@ -112,7 +114,7 @@
             away = self.node.reports.unresponsive(self.node.now_s)
             if not set(behind) - set(away) or self.node.now_s >= until_s:
                 return behind
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
     def _number(self, name: str, default: float) -> float:
         word = self.get_query_argument(name, '')
--- a/limpetroute/control/manifest_store.py
+++ b/limpetroute/control/manifest_store.py
@@ -1,4 +1,7 @@
-"""Which manifest wins: numbers only go up, and one content a number."""
+"""Decides which manifest is in force.
+
+Numbers only increase, and each number has only one content.
+"""
 
 import dataclasses
 
@@ -7,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """The manifest is in the log; ``resent`` if it already was."""
+    """The manifest is in the log; ``resent`` if it was there before."""
 
     number: int
     digest: str
@@ -16,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """Another manifest has won this number."""
+    """Another manifest with this number is in force."""
 
     number: int
     winner_digest: str
@@ -36,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class InForce:
-    """What the decision needs of the manifest in force."""
+    """Number, digest and sender of the manifest in force."""
 
     number: int
     digest: str
@@ -44,7 +47,7 @@
 
 
 def decide(newest: InForce | None, *, number: int, digest: str) -> Verdict:
-    """Decide on a manifest, given the one in force."""
+    """Return whether a manifest replaces the one in force."""
     if newest is None or number > newest.number:
         return Accepted(number=number, digest=digest, resent=False)
     if number < newest.number:
@@ -59,7 +62,7 @@
 
 
 class ManifestStore:
-    """Keeps the newest manifest."""
+    """Stores the newest manifest."""
 
     __slots__ = ('newest',)
 
@@ -70,7 +73,7 @@
         return f'{type(self).__name__}(newest={self.newest!r})'
 
     def submit(self, body: manifest_module.ManifestBody) -> Verdict:
-        """Decide on a manifest and keep it if it wins."""
+        """Store a manifest if it is newer than the one in force."""
         newest = self.newest
         in_force = None
         if newest is not None:
--- a/limpetroute/control/metrics_component.py
+++ b/limpetroute/control/metrics_component.py
@@ -1,4 +1,4 @@
-"""A control host's metrics."""
+"""Serves a control host's metrics."""
 
 import functools
 import typing
@@ -24,7 +24,7 @@
 
 
 class MetricsComponent:
-    """A control host's metrics, on a port of their own.
+    """Serves a control host's metrics on a separate port.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
         return f'{type(self).__name__}(listen={self._listen!r})'
 
     def routes(self) -> list[web.URLSpec]:
-        """Return nothing: it has a port of its own."""
+        """Return no handlers, because metrics have their own port."""
         return []
 
     def start(self) -> None:
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -1,4 +1,4 @@
-"""One control host: its groups, its disk and its links."""
+"""One control host: its groups, its journal and its peer links."""
 
 import asyncio
 import dataclasses
@@ -42,10 +42,10 @@
 HOST_LIVE_S = 10.0
 HOST_FORGET_S = 86400.0
 FORGET_EVERY_S = 5.0
-# Part of the election time: an event loop that is late for as long as
-# that cannot keep a leader's term.
-LOOP_LAG_LOG_PART = 0.1
-# How often a disk that failed is tried again.
+# Event loop lag is logged above this fraction of the election timeout. A
+# leader whose lag reaches the whole timeout loses its term.
+LOOP_LAG_LOG_FRACTION = 0.1
+# Time between attempts to use a failed disk again.
 REOPEN_S = 0.5
 
 
@@ -58,19 +58,19 @@
 
 
 class Node:
-    """One control host: its groups, its disk and its links.
+    """One control host: its groups, its journal and its peer links.
 
     Parameters
     ----------
     settings : ControlSettings
-        Checked settings.
+        Validated settings.
     url : str
-        Address under which the others reach this host.
+        Address at which the other control hosts reach this host.
     folder : DataFolder
         The opened data folder.
     reopen : callable or None
-        Opens the folder again after a write failed; None to stay
-        stepped back.
+        Opens the folder again after a failed write; None to leave the
+        replicas in the failed state.
     max_batch : int or None
         See `JournalWriter`.
     """
@@ -95,7 +95,7 @@
         self.routes_splitter = routes_splitter.RoutesSplitter()
         self.trial_times = trial_times.TrialTimes()
         self.loop_lag = loop_lag.LoopLag(
-            log_from_s=settings.election_s * LOOP_LAG_LOG_PART
+            log_from_s=settings.election_s * LOOP_LAG_LOG_FRACTION
         )
         self._rng = random.Random()
         self._timings = timings_module.Timings(
@@ -122,17 +122,17 @@
 
     @property
     def syncs(self) -> int:
-        """Number of syncs so far."""
+        """Number of journal syncs since the start."""
         return self._journal_writer.syncs
 
     @property
     def links(self) -> dict[str, bool]:
-        """Whether each other control host answers."""
+        """Whether each other control host is reachable, by URL."""
         return {url: link.reachable for url, link in self._links.items()}
 
     @property
     def now_s(self) -> float:
-        """Clock of this process."""
+        """Monotonic clock of this process, in seconds."""
         return boot_clock.now_s()
 
     @property
@@ -142,11 +142,11 @@
 
     def claim_group(self, team: str, key: str) -> group_module.Group:
         """Return the group that holds a claim."""
-        place = xxhash.xxh64_intdigest(f'{team}\n{key}'.encode())
-        return self.groups[1 + place % self.settings.claim_groups]
+        digest = xxhash.xxh64_intdigest(f'{team}\n{key}'.encode())
+        return self.groups[1 + digest % self.settings.claim_groups]
 
     def url_of(self, host_id: str) -> str:
-        """Return a control host's address, or nothing."""
+        """Return a control host's address, or an empty string."""
         if host_id == self.settings.host_id:
             return self.url
         seen = self._seen_hosts.get(host_id)
@@ -158,7 +158,7 @@
 
     @property
     def urls(self) -> list[str]:
-        """Control hosts heard of late, this one among them."""
+        """Addresses of control hosts seen recently, including this one."""
         now_s = self.now_s
         seen = [
             one.url
@@ -168,12 +168,12 @@
         return [self.url, *seen]
 
     def is_complete(self) -> bool:
-        """Return whether the group bears all the losses it should.
+        """Return whether the group has as many voters as it should.
 
-        Right after the founding a group of seeds is smaller. What it
-        acknowledged then would be gone with the disks of two hosts, so
-        callers wait until it has grown; hosts that never come hold that
-        up for ``full_group_wait_s`` and no longer.
+        A group of seeds has fewer voters right after its bootstrap, and an
+        entry acknowledged then would be lost with the disks of two hosts.
+        Callers therefore wait until the group is complete, but at most
+        ``full_group_wait_s`` in case some hosts never start.
         """
         wanted = self._wanted_voters()
         if len(self.config.replica.membership.voters) >= wanted:
@@ -182,7 +182,7 @@
         return waited_s > self.settings.full_group_wait_s
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Start the groups and connect to the other control hosts."""
         self._make_groups()
         self._journal_writer.start()
         self._started_s = self.now_s
@@ -193,7 +193,7 @@
         self.loop_lag.start()
 
     async def stop(self) -> None:
-        """End; nothing more is acknowledged."""
+        """Stop; no command is acknowledged afterwards."""
         self.loop_lag.stop()
         for task in self._tasks:
             task.cancel()
@@ -203,9 +203,13 @@
         self.folder.close()
 
     def receive(self, batch: peer_batch.PeerBatch) -> None:
-        """Take what another control host posted."""
+        """Process a batch from another control host."""
         if batch.host_id == self.settings.host_id:
-            LOG.error('%s has this host_id too: %s', batch.url, batch.host_id)
+            LOG.error(
+                '%s has the same host_id as this host: %s',
+                batch.url,
+                batch.host_id,
+            )
             return
         now_s = self.now_s
         self._seen_hosts[batch.host_id] = _SeenHost(
@@ -235,12 +239,12 @@
             self.groups[body.group].feed(events.Received(envelope=envelope))
 
     def replace(self, old_host: str, new_host: str) -> str:
-        """Have a host's replicas replaced by another host's.
+        """Replace a host's replicas by those of another host.
 
         Returns
         -------
         str
-            What stands in the way, or nothing.
+            The reason why this is not possible, or an empty string.
         """
         if new_host not in self._seen_hosts:
             return f'new_host: {new_host!r} has not been heard'
@@ -258,12 +262,12 @@
         )
 
     async def _recover_disk(self) -> None:
-        """Start again from the disk, as after a crash, once it works.
+        """Restart the replicas from the disk, once it works again.
 
-        A disk that was full for some seconds would otherwise take its
-        replica away until an operator restarts the process; the next
-        two such hosts would stop the group. What the failed write left
-        is read again and synced anew before anything rests on it.
+        Otherwise a disk that was full for some seconds would disable its
+        replica until an operator restarts the process, and two more such
+        hosts would stop the group. The content is read and synced again
+        before it is used, because the failed write may be incomplete.
         """
         assert self._reopen is not None
         while self.failure:
@@ -272,7 +276,7 @@
                 folder = self._reopen()
             except (folder_error.FolderError, OSError) as exc:
                 LOG.warning(
-                    'the disk cannot be used yet',
+                    'disk still unusable',
                     extra={'reason': str(exc)},
                 )
                 continue
@@ -283,7 +287,7 @@
             self._journal_writer.start()
             self._make_groups()
             LOG.warning(
-                'the disk works again',
+                'disk usable again',
                 extra={'replica': folder.replica_id},
             )
 
@@ -357,7 +361,7 @@
         if self._reopen is not None:
             self._tasks.append(asyncio.create_task(self._recover_disk()))
 
-    # Founding and replacement
+    # Bootstrap and replacement
 
     def _is_pristine(self) -> bool:
         if not self.folder.blank:
@@ -368,10 +372,10 @@
         return True
 
     def _bootstrap_if_all_blank(self) -> None:
-        """Found the groups once every host is here with an empty disk.
+        """Bootstrap the groups once all hosts are up with empty disks.
 
-        Only all hosts together may do so: two that came back empty
-        would else found a new group beside the third one's state.
+        All hosts are required. Otherwise two hosts that lost their disks
+        would bootstrap a new group and ignore the state of the third.
         """
         if self.settings.seeds:
             return
@@ -394,20 +398,20 @@
         try:
             self.folder.bootstrap(replicas)
         except OSError as exc:
-            LOG.error('cannot write the founding: %s', exc)
+            LOG.error('cannot write the bootstrap file: %s', exc)
             self._on_failed(f'disk: {exc}')
             return
-        LOG.info('founded with %s', ', '.join(sorted(replicas)))
+        LOG.info('bootstrapped with %s', ', '.join(sorted(replicas)))
         self._make_groups()
 
-    def _bring_replicas_in(self, group: group_module.Group) -> None:
+    def _update_membership(self, group: group_module.Group) -> None:
         replica = group.replica
         if replica.role is not replica_module.Role.LEADER:
             return
-        for old, new in self.replacements.all().items():
-            former = replica.membership.of_host(old)
-            if former is not None and old != new:
-                group.feed(events.RemoveMember(replica_id=former.replica_id))
+        for old_host, new_host in self.replacements.all().items():
+            old = replica.membership.of_host(old_host)
+            if old is not None and old_host != new_host:
+                group.feed(events.RemoveMember(replica_id=old.replica_id))
                 return
         if self.settings.seeds:
             self._reconcile_members(group)
@@ -425,13 +429,13 @@
             )
             if change is None:
                 continue
-            full = len(replica.membership.members) >= wanted
-            if isinstance(change, events.AddLearner) and full:
+            is_complete = len(replica.membership.members) >= wanted
+            if isinstance(change, events.AddLearner) and is_complete:
                 continue
             group.feed(change)
             return
 
-    # A group of seeds
+    # Groups configured by seeds
 
     def _seed_url(self, host_id: str) -> str:
         listen = self.settings.listen
@@ -483,7 +487,7 @@
             self._bootstrap_if_all_blank()
             for group in self.groups:
                 group.feed(events.Tick())
-                self._bring_replicas_in(group)
+                self._update_membership(group)
             if self.now_s >= forget_due_s:
                 forget_due_s = self.now_s + FORGET_EVERY_S
                 self._forget_old()
@@ -493,7 +497,7 @@
         self.reports.expire(now_s)
         self.replacements.expire(now_s)
         for group in self.groups[1:]:
-            command = self._what_to_forget(group)
+            command = self._forget_command(group)
             if command is None:
                 continue
             if group.replica.lease_valid(now_s):
@@ -501,7 +505,7 @@
                     events.Propose(commands=(commands.encode(command),))
                 )
 
-    def _what_to_forget(
+    def _forget_command(
         self, group: group_module.Group
     ) -> commands.ForgetOld | None:
         wall_s = time.time()
@@ -521,8 +525,8 @@
 
 def _min_voters(settings: control_settings.ControlSettings) -> int:
     if settings.seeds:
-        # The turnover removes a voter only where all wanted ones are
-        # there; this is the last guard.
+        # The membership reconciler removes an unresponsive voter only from a
+        # complete group; this limit is a second safeguard.
         return 2
     return (len(settings.peer_urls) + 1) // 2 + 1
 
--- a/limpetroute/control/peer_handlers.py
+++ b/limpetroute/control/peer_handlers.py
@@ -10,7 +10,10 @@
     """``POST /v1/peer``."""
 
     def post(self) -> None:
-        """Take a batch; what it leads to is sent, not answered."""
+        """Receive a batch of messages.
+
+        Replies to the messages are sent as batches of this host.
+        """
         batch = self.parse(peer_batch.PeerBatch)
         if batch is None:
             return
@@ -22,7 +25,7 @@
     """``GET /v1/status``."""
 
     def get(self) -> None:
-        """Show what this host knows."""
+        """Return this host's status."""
         self.finish(status.describe(self.node))
 
 
@@ -30,7 +33,7 @@
     """``POST /v1/members/replace``."""
 
     def post(self) -> None:
-        """Have one control host take another's place."""
+        """Start replacing one control host by another."""
         body = self.parse(claim_bodies.ReplaceBody)
         if body is None:
             return
--- a/limpetroute/control/peer_link.py
+++ b/limpetroute/control/peer_link.py
@@ -1,4 +1,4 @@
-"""The task that sends to one other control host."""
+"""The connection that sends messages to one other control host."""
 
 import asyncio
 import logging
@@ -16,18 +16,18 @@
 MAX_QUEUED = 2000
 MAX_SNAPSHOTS_QUEUED = 4
 SLOWEST_LINK_BYTES_PER_S = 500_000
-# Heartbeats wait behind a batch, so a silent link may hold it up for less
-# time than a snapshot, which goes beside them.
+# Heartbeats wait behind a batch, so a batch gets less time than a snapshot,
+# which is sent concurrently.
 SLOWEST_BATCH_BYTES_PER_S = 4_000_000
 
 
 class PeerLink:
-    """The task that sends to one other control host.
+    """The connection that sends messages to one other control host.
 
-    Each batch goes on a connection of its own, with a deadline: a
-    connection that something between the hosts has lost track of costs
-    one deadline, and the next batch takes a new one. Snapshots go
-    beside the small messages, so heartbeats never wait behind one.
+    Each batch is sent on its own connection with a deadline. If a
+    connection is dropped silently between the hosts, this costs one
+    deadline, and the next batch uses a new connection. Snapshots are sent
+    concurrently, so that heartbeats never wait behind one.
 
     Parameters
     ----------
@@ -38,13 +38,13 @@
     make_hello : callable
         Returns a batch without envelopes and reports.
     reports : HostReports
-        What was heard of entry hosts. All of it goes with a batch once in
-        ``hello_s``, and only changes between: it grows with the hosts, and
-        heartbeats are many.
+        Reports of the entry hosts. A batch contains all of them once in
+        ``hello_s`` and only changes in between, because their size grows
+        with the number of hosts and heartbeats are frequent.
     hello_s : float
         Time between batches when there is nothing else to send.
     timeout_s : float
-        Deadline of a small batch; large ones have more.
+        Timeout of a small batch; it grows with the size of the batch.
     """
 
     def __init__(
@@ -77,19 +77,23 @@
         return f'{type(self).__name__}(url={self.url!r})'
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         self._tasks = [
             asyncio.create_task(self._run()),
             asyncio.create_task(self._run_snapshots()),
         ]
 
     def stop(self) -> None:
-        """End."""
+        """Stop sending."""
         for task in self._tasks:
             task.cancel()
 
     def put(self, group: int, envelope: messages.Envelope) -> None:
-        """Queue a message; a full queue drops it, as a network may."""
+        """Queue a message.
+
+        A full queue drops it, which the replicas tolerate as they do packet
+        loss.
+        """
         body = peer_batch.EnvelopeBody.model_construct(
             group=group,
             sender=envelope.sender,
@@ -114,7 +118,8 @@
             self._wake.clear()
             queue, self._queue = self._queue, []
             if not await self._post(queue, SLOWEST_BATCH_BYTES_PER_S):
-                # What waited meanwhile is old: the replicas send again.
+                # Messages queued meanwhile are out of date, and the replicas
+                # send them again.
                 self._queue.clear()
                 await asyncio.sleep(self._timeout_s / 8)
 
@@ -126,7 +131,7 @@
             await self._post([body], SLOWEST_LINK_BYTES_PER_S)
 
     def _hosts(self) -> dict[str, peer_batch.HostReportBody]:
-        """Return what the other host is told of entry hosts now."""
+        """Return the entry host reports for the next batch."""
         now_s = boot_clock.now_s()
         after_change = self._reported_changes
         if now_s >= self._reports_due_s:
@@ -140,10 +145,10 @@
         envelopes: list[peer_batch.EnvelopeBody],
         slowest_bytes_per_s: float,
     ) -> bool:
-        """Send a batch; its deadline grows with its size.
+        """Send a batch with a timeout that grows with its size.
 
-        An entry that takes longer than a fixed deadline to send would
-        be cut and sent again without end.
+        With a fixed timeout, an entry that takes longer to send would be
+        aborted and sent again without end.
         """
         hello = self._make_hello()
         batch = hello.model_copy(
--- a/limpetroute/control/quarantine_handlers.py
+++ b/limpetroute/control/quarantine_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers for requests under which runners crash."""
+"""Handlers for requests that crash runners."""
 
 import logging
 
@@ -15,7 +15,7 @@
     """``POST /v1/crashes``."""
 
     async def post(self) -> None:
-        """Take note of crashes and of the requests that were there."""
+        """Record crashes and the requests that the runners were running."""
         body = self.parse(crash_bodies.CrashesBody)
         if body is None:
             return
@@ -45,7 +45,7 @@
     """``POST /v1/quarantine/clear``."""
 
     async def post(self) -> None:
-        """Take a request for harmless."""
+        """Release a quarantined request as harmless."""
         body = self.parse(crash_bodies.RequestBody)
         if body is None:
             return
@@ -61,7 +61,7 @@
     """``POST /v1/quarantine/trial``."""
 
     async def post(self) -> None:
-        """Let one host send a quarantined request once, if it is time."""
+        """Allow one host to send a quarantined request once, if it is due."""
         body = self.parse(crash_bodies.RequestBody)
         if body is None:
             return
@@ -90,7 +90,7 @@
         outcome = quarantine.Trial.RELEASED.value
         if isinstance(result, results.TrialDecided):
             outcome = result.trial
-        # The next delay runs from this trial on.
+        # The delay before the next trial starts with this one.
         wait_s = node.trial_times.wait_s(
             fingerprint, known.trials(fingerprint), node.now_s
         )
@@ -100,7 +100,7 @@
         self, fingerprint: str, outcome: str, trials: int, wait_s: float
     ) -> None:
         LOG.info(
-            'trial asked for',
+            'trial requested',
             extra={
                 'fingerprint': fingerprint,
                 'outcome': outcome,
--- a/limpetroute/control/recent_routes.py
+++ b/limpetroute/control/recent_routes.py
@@ -1,4 +1,4 @@
-"""The last routing configurations, and the ways between them."""
+"""The last routing configurations, and the updates between them."""
 
 import collections
 import gzip
@@ -11,17 +11,17 @@
 MAX_VERSIONS = 32
 MAX_BYTES = 16 << 20
 MAX_UPDATES = 8
-# Characters of an update in one answer: some 6 KB once compressed, a
-# hundredth of a second on a link of 5 Mbit/s.
+# Maximum size of a slice of an update. Compressed, this is about 6 KB,
+# which takes 10 ms on a link of 5 Mbit/s.
 SLICE_CHARS = 65536
-# Updates up to this are part of the answer that tells of them.
+# Updates up to this size are part of the notice of a new version.
 INLINE_CHARS = 8192
 
 
 class UpdateText:
     """An update's JSON text, and its compressed slices.
 
-    All hosts are sent the same bytes, so each slice is compressed once.
+    All hosts receive the same bytes, so each slice is compressed once.
 
     Parameters
     ----------
@@ -41,12 +41,12 @@
 
     @property
     def base(self) -> str:
-        """Digest of the document that it starts from."""
+        """Digest of the document that the update applies to."""
         return self._update.base
 
     @property
     def inline(self) -> bool:
-        """Whether it is short enough to be told at once."""
+        """Whether the update is small enough to be part of the notice."""
         return len(self.text) <= INLINE_CHARS
 
     def slice(self, offset: int) -> bytes:
@@ -68,12 +68,12 @@
 
 
 class RecentRoutes:
-    """The last routing configurations, and the ways between them.
+    """The last routing configurations, and the updates between them.
 
-    An entry host is sent only what changed since the version it holds,
-    as long as that one is among the last ones here. Documents are cut
-    into parts when that is first asked for: a replica that reads its
-    log anew takes hundreds of them and needs only the last.
+    An entry host receives only the changes since the version that it holds,
+    if that version is still stored here. Documents are split into fragments
+    on first use, because a replica that replays its log applies hundreds of
+    them and needs only the last.
     """
 
     __slots__ = ('_copies', '_texts', '_updates')
@@ -91,7 +91,7 @@
         return f'{type(self).__name__}(versions={len(self._texts)!r})'
 
     def note(self, routes: routes_store.RoutesInForce) -> None:
-        """Take the configuration that is in force from now on."""
+        """Add the configuration that is now in force."""
         self._texts.pop(routes.digest, None)
         self._copies.pop(routes.digest, None)
         self._texts[routes.digest] = routes
@@ -104,7 +104,7 @@
             chars -= len(oldest.text)
 
     def is_split(self, digest: str) -> bool:
-        """Return whether a version is cut into parts already."""
+        """Return whether a version has been split into fragments."""
         return digest in self._copies
 
     def store_fragments(
@@ -112,7 +112,7 @@
         routes: routes_store.RoutesInForce,
         parts: tuple[routes_parts.Part, ...],
     ) -> None:
-        """Take the parts of a version, unless it is gone."""
+        """Store the fragments of a version, unless it has been dropped."""
         if self._texts.get(routes.digest) is not routes:
             return
         self._copies[routes.digest] = routes_copy.RoutesCopy(
@@ -120,7 +120,7 @@
         )
 
     def get(self, digest: str) -> routes_copy.RoutesCopy | None:
-        """Return a version, cut into parts."""
+        """Return a version, split into fragments, or None."""
         routes = self._texts.get(digest)
         if routes is None:
             return None
@@ -131,9 +131,10 @@
         return known
 
     def update(self, base: str, digest: str) -> UpdateText | None:
-        """Return the way to a version that is here.
+        """Return the update from one version to another, or None.
 
-        It starts from nothing where ``base`` is not here.
+        If ``base`` is not stored here, the update starts from an empty
+        configuration.
         """
         newer = self.get(digest)
         if newer is None:
--- a/limpetroute/control/replacements.py
+++ b/limpetroute/control/replacements.py
@@ -1,24 +1,25 @@
-"""The control hosts that operators replace by others."""
+"""Operators' orders to replace control hosts by others."""
 
 import dataclasses
 
 from limpetroute.border import peer_batch
 
-# A host told of an order for a little while after it has lapsed must not
-# bring it back; ages go with the orders, so all of them lapse together.
+# Time after which an order expires. Hosts send orders to each other with
+# their age, so that an order expires on all hosts at the same time and is
+# not restored by a peer.
 REPLACEMENT_TTL_S = 600.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Replacement:
-    """One order: the new host's name and when it was given."""
+    """One order: the new host's name and the time of the order."""
 
     new_host: str
     since_s: float
 
 
 class Replacements:
-    """The control hosts that operators replace by others."""
+    """Operators' orders to replace control hosts by others."""
 
     __slots__ = ('_orders',)
 
@@ -32,20 +33,20 @@
         return old_host in self._orders
 
     def all(self) -> dict[str, str]:
-        """Return each replaced host's successor."""
+        """Return the successor of each replaced host."""
         return {old: one.new_host for old, one in self._orders.items()}
 
     def note(self, old_host: str, new_host: str, since_s: float) -> None:
-        """Take an order, unless a later one says otherwise.
+        """Record an order, unless a later one contradicts it.
 
-        An order the other way round replaces the earlier one: a host
-        may be put back.
+        An order in the opposite direction replaces the earlier one, so that
+        a host can be put back.
         """
         known = self._orders.get(old_host)
         if known is not None and known.since_s >= since_s:
             return
-        back = self._orders.get(new_host)
-        if back is not None and back.since_s >= since_s:
+        opposite = self._orders.get(new_host)
+        if opposite is not None and opposite.since_s >= since_s:
             return
         self._orders.pop(new_host, None)
         self._orders[old_host] = Replacement(
@@ -53,13 +54,13 @@
         )
 
     def expire(self, now_s: float) -> None:
-        """Drop orders that have lapsed."""
+        """Remove orders older than `REPLACEMENT_TTL_S`."""
         for old_host, one in list(self._orders.items()):
             if now_s - one.since_s > REPLACEMENT_TTL_S:
                 del self._orders[old_host]
 
     def bodies(self, now_s: float) -> dict[str, peer_batch.ReplacementBody]:
-        """Return what a peer is told."""
+        """Return the orders, with their ages, to send to a peer."""
         return {
             old: peer_batch.ReplacementBody(
                 new_host=one.new_host, age_s=max(0.0, now_s - one.since_s)
@@ -70,7 +71,7 @@
     def receive(
         self, bodies: dict[str, peer_batch.ReplacementBody], now_s: float
     ) -> None:
-        """Take what a peer tells."""
+        """Record the orders that a peer has sent."""
         for old_host, body in bodies.items():
             if body.age_s <= REPLACEMENT_TTL_S:
                 self.note(old_host, body.new_host, now_s - body.age_s)
--- a/limpetroute/control/results.py
+++ b/limpetroute/control/results.py
@@ -1,4 +1,4 @@
-"""What commands came to, once committed."""
+"""Results of committed commands."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Granted:
-    """The claim is this token's."""
+    """The claim is granted to the command's token."""
 
     fence: int
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Settled:
-    """The outcome is written; ``known`` is false if no claim was."""
+    """The outcome is written; ``known`` is false if there is no claim."""
 
     known: bool
 
@@ -47,12 +47,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Done:
-    """Nothing to say."""
+    """The command was applied and has no result."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Full:
-    """The state's limit is reached; nothing was written."""
+    """A limit of the state is reached; nothing was written."""
 
     reason: str
 
--- a/limpetroute/control/routes_handlers.py
+++ b/limpetroute/control/routes_handlers.py
@@ -1,4 +1,4 @@
-"""What hosts ask for of the routing configuration."""
+"""Handlers that serve the routing configuration to hosts."""
 
 from limpetroute.control import base_handler
 
@@ -7,14 +7,15 @@
 
 
 class RoutesSliceHandler(base_handler.BaseHandler):
-    """``GET /v1/routes``: a slice of an update."""
+    """``GET /v1/routes``: returns a slice of an update."""
 
     async def get(self) -> None:
-        """Show a slice of the way from ``base`` to ``digest``.
+        """Return a slice of the update from ``base`` to ``digest``.
 
-        The texts are named by their digests, so any control host that
-        has them goes on where another one stopped. One that lacks the
-        base can only begin the way from nothing.
+        Versions are identified by digests, so any control host that stores
+        both can continue where another one stopped. A control host without
+        the base only serves the update from an empty configuration, from
+        its start.
         """
         word = self.get_query_argument('offset', '0')
         if not word.isdecimal():
@@ -35,10 +36,10 @@
 
 
 class NewestRoutesHandler(base_handler.BaseHandler):
-    """``GET /v1/routes/newest``: which configuration is in force."""
+    """``GET /v1/routes/newest``: returns the version in force."""
 
     def get(self) -> None:
-        """Name it; only a leader whose lease runs answers."""
+        """Return version and digest, if this host holds the leader lease."""
         group = self.node.config
         if not group.replica.can_read(self.node.now_s):
             self.refuse('', 'not the leader')
--- a/limpetroute/control/routes_splitter.py
+++ b/limpetroute/control/routes_splitter.py
@@ -1,4 +1,4 @@
-"""Cuts routing configurations into parts, beside the event loop."""
+"""Splits routing configurations into fragments, in a thread."""
 
 import asyncio
 
@@ -9,11 +9,11 @@
 
 
 class RoutesSplitter:
-    """Cuts routing configurations into parts, beside the event loop.
+    """Splits routing configurations into fragments, in a thread.
 
-    Cutting thousands of routes takes as long as a leader may be silent,
-    on a busy host. On the loop, it held heartbeats up on all control
-    hosts at once, and each large change ended the term.
+    On a busy host, splitting thousands of routes takes as long as the
+    election timeout. On the event loop, it delayed heartbeats on all
+    control hosts at once, and each large change ended the leader's term.
     """
 
     def __init__(self) -> None:
@@ -23,7 +23,7 @@
         return f'{type(self).__name__}(running={len(self._running)!r})'
 
     async def split(self, state: control_state.ControlState) -> None:
-        """Have the configuration in force cut, if it is not yet."""
+        """Split the configuration in force, unless it is split already."""
         routes = state.routes
         if routes is None or state.recent_routes.is_split(routes.digest):
             return
@@ -31,7 +31,7 @@
         if task is None:
             task = asyncio.create_task(self._run(state.recent_routes, routes))
             self._running[routes.digest] = task
-        # Who waits may be gone before the others.
+        # One waiting caller may be cancelled while others still wait.
         await asyncio.shield(task)
 
     async def _run(
--- a/limpetroute/control/routes_store.py
+++ b/limpetroute/control/routes_store.py
@@ -1,4 +1,4 @@
-"""Which routing configuration is in force: the highest version."""
+"""Decides which routing configuration is in force: the highest version."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
     Parameters
     ----------
     version : int
-        Its number; only a higher one replaces it.
+        Version number; only a higher one replaces the document.
     digest : str
         Hash of ``text``.
     text : str
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RoutesTaken:
-    """A routing configuration is acknowledged.
+    """A submitted routing configuration is acknowledged.
 
     Parameters
     ----------
@@ -33,10 +33,10 @@
     newest_version : int
         The version in force afterwards.
     in_force : bool
-        Whether the document in force is the one that was sent. An older
-        version, or other content under the same one, changes nothing
-        and is acknowledged all the same: its sender may repeat a call
-        whose answer was lost.
+        Whether the document in force is the submitted one. An older
+        version, or different content under the same version, changes
+        nothing but is acknowledged too, because the sender may repeat a
+        call whose response was lost.
     """
 
     version: int
@@ -47,7 +47,7 @@
 def decide(
     newest: RoutesInForce | None, *, version: int, digest: str, text: str
 ) -> tuple[RoutesInForce, RoutesTaken]:
-    """Return the configuration in force after one was sent."""
+    """Return the configuration in force after a submission."""
     if newest is None or version > newest.version:
         newest = RoutesInForce(version=version, digest=digest, text=text)
     same = newest.version == version and newest.digest == digest
--- a/limpetroute/control/runner_row.py
+++ b/limpetroute/control/runner_row.py
@@ -1,28 +1,28 @@
-"""What the control log holds of one runner."""
+"""One runner's row in the replicated state."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunnerRow:
-    """What the control log holds of one runner.
+    """One runner's row in the replicated state.
 
     Parameters
     ----------
     runner_id : str
-        Identity of a runner; it may start again under the same.
+        Identity of the runner, which it may keep across restarts.
     address : str
-        ``IP:PORT`` at which it takes requests.
+        ``IP:PORT`` at which the runner accepts requests.
     text : str
-        The rest of its announcement, as JSON.
+        The other fields of its announcement, as JSON.
     sequence : int
         Number of the announcement since the runner's start.
     state : str
         See `RunnerState`.
     changed_index : int
-        Place in the log of its last change.
+        Log index of the row's last change.
     started_ms : int
-        Unix time of the runner's start in milliseconds; 0 if not told.
+        Unix time of the runner's start in milliseconds; 0 if not announced.
     """
 
     runner_id: str
--- a/limpetroute/control/runner_table.py
+++ b/limpetroute/control/runner_table.py
@@ -1,4 +1,4 @@
-"""The runners that have announced themselves."""
+"""The table of announced runners in the replicated state."""
 
 import dataclasses
 import enum
@@ -7,27 +7,27 @@
 from limpetroute.control import commands
 from limpetroute.control import runner_row
 
-# Runners that left are remembered so that a late heartbeat does not
-# bring them back; a fleet of 1,800 that is replaced once fits.
+# Rows of departed runners are kept, so that a late heartbeat does not add
+# the runner again. A fleet of 1,800 that is replaced once fits.
 MAX_GONE = 2000
 
 
 class RunnerState(enum.StrEnum):
-    """Whether a runner takes new requests."""
+    """Whether a runner accepts new requests."""
 
     READY = 'ready'
     DRAINING = 'draining'
     GONE = 'gone'
 
 
-# From one start to the next, a runner only moves forward through these.
+# Until it restarts, a runner changes its state only in this order.
 _ORDER = (RunnerState.READY, RunnerState.DRAINING, RunnerState.GONE)
 
 
 class RunnerTable:
-    """The runners that have announced themselves.
+    """The table of announced runners in the replicated state.
 
-    Pure: the same commands give the same table on every replica.
+    Deterministic: the same commands give the same table on every replica.
     """
 
     __slots__ = ('_gone', '_rows', 'changed_index')
@@ -44,11 +44,11 @@
         return iter(self._rows.values())
 
     def get(self, runner_id: str) -> runner_row.RunnerRow | None:
-        """Return a runner, also one that has left."""
+        """Return a runner's row, also if it has left."""
         return self._rows.get(runner_id) or self._gone.get(runner_id)
 
     def at_address(self, address: str) -> runner_row.RunnerRow | None:
-        """Return the runner that holds an address."""
+        """Return the runner that is registered at an address."""
         for row in self._rows.values():
             if row.address == address:
                 return row
@@ -57,10 +57,10 @@
     def next_after(
         self, index: int, most: int
     ) -> tuple[list[runner_row.RunnerRow], int]:
-        """Return the first changes after a place in the log.
+        """Return the first rows that changed after a log index.
 
-        Also returns the place up to which they tell everything. Who
-        knows nothing yet need not hear of runners that have left.
+        Also returns the index up to which the rows are complete. For index
+        0, departed runners are left out.
         """
         if index >= self.changed_index:
             return [], index
@@ -71,23 +71,23 @@
         rows.sort(key=_changed_index)
         if len(rows) <= most:
             return rows, self.changed_index
-        # Two runners change at one place where one takes the address of
-        # the other: all of that place, or nothing of it.
+        # Two rows change at the same index if one runner takes over the
+        # other's address. Rows of one index are returned together.
         last = rows[most - 1].changed_index
         rows = [row for row in rows if row.changed_index <= last]
         return rows, last
 
     def is_update(self, command: commands.NoteRunner) -> bool:
-        """Return whether an announcement says what is not known yet.
+        """Return whether an announcement would change the table.
 
-        Most heartbeats repeat the last one; only the others are worth a
-        place in the log. One that was overtaken on its way adds nothing
-        either, nor does one of a runner that has left.
+        Most heartbeats repeat the last announcement and need no log entry.
+        Neither does an announcement that arrives after a later one, or one
+        of a runner that has left.
 
-        A runner may crash and start again under its identity, counting
-        its announcements from the beginning. Told apart by their numbers
-        alone, those of its new life would pass for late ones of the old,
-        and the runner would stay as it was, or gone, for good.
+        A runner may crash and restart under the same identity, which
+        restarts its sequence numbers. The start time is compared first:
+        otherwise the announcements after a restart would look outdated, and
+        the runner would keep its old state, or stay gone, forever.
         """
         known = self.get(command.runner_id)
         if known is None:
@@ -107,10 +107,10 @@
         )
 
     def note(self, command: commands.NoteRunner, index: int) -> None:
-        """Take an announcement.
+        """Apply an announcement.
 
-        A new runner takes over its address: the one that held it has
-        crashed without a word, as two processes cannot share it.
+        A new runner takes over its address. Two processes cannot share one,
+        so the runner that was registered there has crashed.
         """
         if not self.is_update(command):
             return
@@ -130,10 +130,10 @@
         self.changed_index = index
 
     def is_valid_departure(self, runner_id: str, started_ms: int = 0) -> bool:
-        """Return whether a farewell says what is not known yet.
+        """Return whether a departure would change the table.
 
-        One of an earlier start that comes late adds nothing: the runner
-        is back.
+        A late departure message from before a restart changes nothing,
+        because the runner is running again.
         """
         known = self.get(runner_id)
         if known is None:
@@ -145,9 +145,10 @@
     def forget(
         self, runner_id: str, index: int, *, started_ms: int = 0
     ) -> None:
-        """Note that a runner has left, known or not.
+        """Record that a runner has left, even if it is unknown.
 
-        ``started_ms`` tells which start of it said so; 0 if not told.
+        ``started_ms`` is the start of the process that left, in Unix
+        milliseconds; 0 stands for any.
         """
         if not self.is_valid_departure(runner_id, started_ms):
             return
@@ -179,17 +180,17 @@
         return [list(dataclasses.astuple(row)) for row in rows]
 
     def load(self, rows: list[list[typing.Any]]) -> None:
-        """Take what `dump` returned, into an empty table."""
+        """Load the result of `dump` into an empty table."""
         names = [one.name for one in dataclasses.fields(runner_row.RunnerRow)]
         for values in rows:
-            # Snapshots of an earlier version lack the last field.
+            # Snapshots of an earlier release lack the last field.
             row = runner_row.RunnerRow(
                 **dict(zip(names, values, strict=False))
             )
-            place = self._rows
+            rows_by_id = self._rows
             if row.state == RunnerState.GONE:
-                place = self._gone
-            place[row.runner_id] = row
+                rows_by_id = self._gone
+            rows_by_id[row.runner_id] = row
             self.changed_index = max(self.changed_index, row.changed_index)
 
 
--- a/limpetroute/control/server.py
+++ b/limpetroute/control/server.py
@@ -1,4 +1,4 @@
-"""The control process's port."""
+"""The HTTP server of a control process."""
 
 import logging
 import typing
@@ -26,18 +26,18 @@
 
 
 class ControlServer:
-    """One control process.
+    """The server of a control process, with its node and components.
 
     Parameters
     ----------
     settings : ControlSettings
-        Checked settings.
+        Validated settings.
     max_batch : int or None
-        Most writes in one sync; None for all that wait.
+        Maximum number of writes in one sync; None for no limit.
     files : Files or None
-        The file system; None for the host's own.
+        The file system; None for the host's file system.
     make_components : sequence of MakeComponent
-        Make what runs beside the node.
+        Create the components that run in this process beside the node.
 
     Raises
     ------
@@ -94,7 +94,7 @@
         return f'{scheme}://{address}:{self.port}'
 
     def start(self) -> None:
-        """Listen and take part."""
+        """Open the port and start the node and its components."""
         listen = self.settings.listen
         sockets = tornado.netutil.bind_sockets(listen.port, listen.address)
         self.port = int(sockets[0].getsockname()[1])
@@ -124,7 +124,7 @@
         LOG.info('control %s on port %d', self.settings.host_id, self.port)
 
     async def stop(self) -> None:
-        """Close the port and end."""
+        """Close the port and stop the node and its components."""
         for component in self._components:
             component.stop()
         if self._server is not None:
--- a/limpetroute/control/server_component.py
+++ b/limpetroute/control/server_component.py
@@ -1,4 +1,4 @@
-"""What may be added to a control process."""
+"""Optional components of a control process."""
 
 import typing
 
@@ -8,20 +8,20 @@
 
 
 class ServerComponent(typing.Protocol):
-    """Something that runs beside a control host's node."""
+    """A component that runs in the process of a control host's node."""
 
     def routes(self) -> list[web.URLSpec]:
-        """Return what it serves on the port between hosts."""
+        """Return its handlers for the port between hosts."""
 
     def start(self) -> None:
-        """Begin."""
+        """Start the component."""
 
     def stop(self) -> None:
-        """End."""
+        """Stop the component."""
 
 
 class MakeComponent(typing.Protocol):
-    """Makes a part."""
+    """Creates a component."""
 
     def __call__(self, *, node: node_module.Node) -> ServerComponent:
-        """Make it."""
+        """Create the component for a node."""
--- a/limpetroute/control/snapshot_codec.py
+++ b/limpetroute/control/snapshot_codec.py
@@ -1,4 +1,4 @@
-"""Turns a snapshot into bytes and back."""
+"""Encodes snapshots as bytes and decodes them."""
 
 import struct
 
@@ -16,7 +16,7 @@
 
 
 def decode(payload: bytes) -> snapshot_module.Snapshot:
-    """Return the snapshot that `encode` was given."""
+    """Return the snapshot that `encode` encoded."""
     index, term, length = _HEAD.unpack_from(payload)
     end = _HEAD.size + length
     return snapshot_module.Snapshot(
--- a/limpetroute/control/status.py
+++ b/limpetroute/control/status.py
@@ -1,4 +1,4 @@
-"""What a control host says of itself."""
+"""The status report of a control host."""
 
 import typing
 
--- a/limpetroute/control/trial_times.py
+++ b/limpetroute/control/trial_times.py
@@ -1,21 +1,21 @@
-"""When a quarantined request may be tried once more."""
+"""Delays before a quarantined request may be tried again."""
 
 import collections
 
 from limpetroute.routing import quarantine
 
-# Before each trial: what was there is forgiven soon if the runners crashed
-# by themselves; a request that crashed another one has to wait for long.
+# Delay before each trial. A request is released soon if the runners crashed
+# for another reason; a request that crashes a further runner waits longer.
 TRIAL_DELAYS_S = (2.0, 30.0, 600.0)
-# A request whose trials are spent starts anew after this long.
+# Time after which a request that has used all its trials is released.
 QUARANTINE_TTL_S = 1800.0
 
 
 class TrialTimes:
-    """When a quarantined request may be tried once more.
+    """Delays before a quarantined request may be tried again.
 
-    Known to the host that leads alone: another leader begins to wait
-    anew, so a change of leaders never brings a trial forward.
+    The times are stored on the leader only. A new leader restarts the
+    delay, so a change of leader never makes a trial earlier.
     """
 
     def __init__(self) -> None:
@@ -27,16 +27,16 @@
         return f'{type(self).__name__}(requests={len(self._since)!r})'
 
     def wait_s(self, fingerprint: str, trials: int, now_s: float) -> float:
-        """Return how long it still has to wait.
+        """Return the remaining delay in seconds.
 
         Parameters
         ----------
         fingerprint : str
             The request.
         trials : int
-            Trials that it has had.
+            Number of its earlier trials.
         now_s : float
-            A steady clock.
+            A monotonic clock.
         """
         known = self._since.get(fingerprint)
         if known is None or known[0] != trials:
--- a/limpetroute/control/verdicts.py
+++ b/limpetroute/control/verdicts.py
@@ -1,4 +1,4 @@
-"""What became of a command that a host was asked to commit."""
+"""Outcomes of a request to commit a command."""
 
 import dataclasses
 
@@ -7,16 +7,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Committed:
-    """A quorum has it on disk, and it was applied."""
+    """A quorum has the command on disk, and it was applied."""
 
     result: results.Result
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotRun:
-    """It was not written, and never will be by this try.
+    """The command was not written, and this attempt will never write it.
 
-    ``leader_host`` is where to try, if known.
+    ``leader_host`` is the host to try next, if it is known.
     """
 
     reason: str
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unknown:
-    """It may still be committed; sending it again settles it."""
+    """The command may still be committed; sending it again settles this."""
 
     reason: str
 
--- a/limpetroute/control/watch_handler.py
+++ b/limpetroute/control/watch_handler.py
@@ -1,4 +1,4 @@
-"""``GET /v1/watch``: what entry hosts follow."""
+"""``GET /v1/watch``: long-poll for changes, used by entry hosts."""
 
 import asyncio
 import dataclasses
@@ -7,21 +7,22 @@
 from limpetroute.border import routes_update_body
 from limpetroute.control import base_handler
 
-# Runners in one answer; the rest comes with the next. Some 10 KB once
-# compressed.
+# Maximum number of runners in one response, about 10 KB once compressed.
+# Further runners are returned by the next call.
 MAX_ROWS = 200
 
 
 class WatchHandler(base_handler.BaseHandler):
-    """``GET /v1/watch``: what entry hosts follow."""
+    """``GET /v1/watch``: long-poll for changes, used by entry hosts."""
 
     async def get(self) -> None:
-        """Show what the caller has not heard, once there is something.
+        """Return the changes that the entry host has not received yet.
 
-        ``after`` is the place in the log up to which it knows runners,
-        ``version`` the routes that it was told of, and ``held`` the
-        digest of the routes that it holds. The call is held for at most
-        ``wait_s``, and while ``leader`` is the address of the leader.
+        The query has ``after``, the log index up to which the host knows
+        the runners; ``version``, the version of the last routes notice that
+        it received; and ``held``, the digest of the routes that it holds.
+        Without changes, the response is delayed for at most ``wait_s``, or
+        until ``leader`` is no longer the leader's address.
         """
         after = int(self._number('after', 0))
         version = int(self._number('version', 0))
@@ -59,12 +60,12 @@
         return body
 
     def _notice(self, version: int) -> dict[str, object] | None:
-        """Return the news of the routes.
+        """Return the notice of a newer version of the routes, or None.
 
-        A change of a few routes is told whole; a larger one, or all of
-        them, is fetched in slices beside this call. Told whole whatever
-        its size, the routes of a grown fleet did not fit into the time
-        that a caller gives a host that may be gone.
+        The notice contains the update if that is small. Entry hosts fetch a
+        larger one in slices by separate calls: with all routes of a large
+        fleet in the notice, the response took longer than the timeout of
+        the watch call.
         """
         state = self.node.config.state
         if state.routes is None or state.routes.version <= version:
@@ -85,10 +86,10 @@
         return len(reports.all()) - len(reports.unresponsive(self.node.now_s))
 
     def _is_in_touch(self) -> bool:
-        """Return whether this host hears a leader and has kept up.
+        """Return whether this host follows a leader and is up to date.
 
-        One that has just started hears the leader before it has applied
-        the log; followed, it would show an older state as the newest.
+        A host that has just started is in contact with the leader before it
+        has applied the log, and would serve an old state as the newest.
         """
         replica = self.node.config.replica
         if replica.applied_index < replica.commit_index:
@@ -101,7 +102,7 @@
     async def _wait_beyond(
         self, after: int, version: int, leader_url: str, wait_s: float
     ) -> None:
-        """Wait for news, or for another leader than the one known."""
+        """Wait for a change, or for another leader than ``leader_url``."""
         try:
             async with asyncio.timeout(wait_s):
                 while True:
--- a/limpetroute/control/write_codec.py
+++ b/limpetroute/control/write_codec.py
@@ -1,4 +1,4 @@
-"""Turns writes of replicas into bytes and back."""
+"""Encodes the writes of replicas as bytes and decodes them."""
 
 import struct
 import typing
@@ -23,16 +23,19 @@
 
 
 def encode(group: int, write: effects.Write) -> bytes:
-    """Return a write's bytes; of a snapshot, only its place."""
+    """Return a write's bytes; for a snapshot, only its index and term."""
     match write:
         case effects.SaveVote():
             return encode_vote(group, write.term, write.voted_for)
         case effects.SaveEntries():
             return encode_entries(group, write.entries)
         case effects.SaveSnapshot():
-            at = write.snapshot
+            snapshot = write.snapshot
             return encode_base(
-                group, at.last_index, at.last_term, write.keeps_log
+                group,
+                snapshot.last_index,
+                snapshot.last_term,
+                write.keeps_log,
             )
 
 
@@ -55,7 +58,7 @@
 
 
 def encode_base(group: int, index: int, term: int, keeps_log: bool) -> bytes:
-    """Return the bytes of a snapshot's place."""
+    """Return the bytes of a snapshot's index and term."""
     return _OP.pack(_BASE_OP, group) + _BASE.pack(index, term, keeps_log)
 
 
@@ -67,7 +70,7 @@
     Raises
     ------
     ValueError
-        If the payload is not one that `encode` made.
+        If the payload is not a result of `encode`.
     """
     offset = 0
     try:
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -198,7 +198,7 @@
     with pytest.raises(OSError, match=errno.errorcode[error]):
         _write(folder, _entries(4, 4))
     files.error = 0
-    with pytest.raises(OSError, match='given up'):
+    with pytest.raises(OSError, match='failed earlier'):
         _write(folder, _entries(4, 4))
     folder.close()
     again = _open(tmp_path)
