--- a/tests/control/control_fleet.py
+++ b/tests/control/control_fleet.py
@@ -1,4 +1,4 @@
-"""Control hosts as tasks of the test's own process."""
+"""Control hosts that run as tasks in the test's process."""
 
 import asyncio
 import contextlib
--- a/tests/control/failing_files.py
+++ b/tests/control/failing_files.py
@@ -1,4 +1,4 @@
-"""A file system that fails from one operation on."""
+"""A file system that can be made to fail."""
 
 import errno
 
@@ -11,7 +11,7 @@
         self._file = file
 
     def write(self, data):
-        # A full disk takes a part of the data before it refuses.
+        # A full disk writes a part of the data before it fails.
         if self._owner.will_fail('write'):
             self._file.write(data[: len(data) // 2])
             self._owner.fail()
@@ -27,7 +27,7 @@
 
 
 class FailingFiles:
-    """The real file system until ``error`` is set."""
+    """The real file system, until ``error`` is set."""
 
     def __init__(self):
         self._files = files_module.DiskFiles()
--- a/tests/control/kill_leaders.py
+++ b/tests/control/kill_leaders.py
@@ -1,4 +1,4 @@
-"""Kills the leader many times under load, and prints what it took.
+"""Kills the leader repeatedly under load and prints the recovery times.
 
 Run by hand: ``python -m tests.control.kill_leaders --kills 20``.
 """
--- a/tests/control/measure.py
+++ b/tests/control/measure.py
@@ -1,4 +1,4 @@
-"""Prints the control log's figures on this machine's disk.
+"""Measures the control log on this machine's disk.
 
 Run by hand: ``python -m tests.control.measure --folder DIR``.
 """
@@ -123,7 +123,7 @@
 
 
 class OneByOne(group_module.Group):
-    """Each command with a message, a write and a sync of its own."""
+    """A group that gives each command its own message, write and sync."""
 
     def _propose(self):
         waiting = self._proposals
@@ -133,7 +133,7 @@
 
 
 async def one_disk(folder, max_batch):
-    """Commit claims on one host for a while; return claims a second."""
+    """Commit claims on one host; return claims and syncs per second."""
     fleet = control_fleet.ControlFleet(folder, hosts=('c1',))
     grouped = group_module.Group
     if max_batch is not None:
--- a/tests/control/measure_processes.py
+++ b/tests/control/measure_processes.py
@@ -1,4 +1,4 @@
-"""Prints what control processes take when idle and under claims.
+"""Measures CPU time, memory and latency of control processes.
 
 Run by hand: ``python -m tests.control.measure_processes --folder DIR``.
 """
--- a/tests/control/process_fleet.py
+++ b/tests/control/process_fleet.py
@@ -1,4 +1,4 @@
-"""Control and entry hosts as processes, killed and frozen."""
+"""Control and entry hosts as processes that tests kill and freeze."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 class ProcessFleet:
-    """Three control hosts and some entry hosts, one process each."""
+    """Three control hosts and several entry hosts, one process each."""
 
     def __init__(self, folder, entries):
         self.folder = folder
@@ -108,7 +108,7 @@
 
 
 class Load:
-    """Claims and manifests without a pause, with what was promised."""
+    """Continuous claims and manifests, with a record of the acknowledged."""
 
     def __init__(self, fleet):
         self.store = http_claim_store.HttpClaimStore(client=fleet.client())
@@ -151,7 +151,10 @@
 
 
 async def kill_leaders(fleet, kills):
-    """Kill the leader ``kills`` times; return seconds to next commits."""
+    """Kill the leader ``kills`` times.
+
+    Returns the load and the seconds from each kill to the next commit.
+    """
     load = Load(fleet)
     tasks = [asyncio.create_task(load.claims(f'h{n}')) for n in range(3)]
     tasks.append(asyncio.create_task(load.manifests()))
@@ -182,7 +185,7 @@
 
 
 async def check_granted(load):
-    """Every claim that was granted is found, by whoever asks."""
+    """Check that every granted claim is found by another holder."""
     keys = list(load.granted)
 
     async def check():
--- a/tests/control/seed_fleet.py
+++ b/tests/control/seed_fleet.py
@@ -1,4 +1,4 @@
-"""Control hosts that found their group from seeds, on 127.0.0.x."""
+"""Control hosts on 127.0.0.x that bootstrap their group from seeds."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class SeedFleet:
-    """Hosts are IP addresses: the loopback network has many."""
+    """A group of seeds whose hosts are loopback IP addresses."""
 
     def __init__(self, folder, seeds, tolerated_losses=2):
         self.folder = folder
@@ -61,7 +61,7 @@
         )
 
     def voters(self):
-        """Return the voters as the leader sees them, by host."""
+        """Return the hosts of the voters in the leader's membership."""
         for server in self.servers.values():
             replica = server.node.config.replica
             if replica.lease_valid(server.node.now_s):
@@ -72,13 +72,13 @@
                 )
         return []
 
-    async def until(self, holds):
+    async def until(self, check):
         async with asyncio.timeout(WAIT_S):
-            while not holds():
+            while not check():
                 await asyncio.sleep(0.02)
 
     async def submit(self, host, version, text='{}'):
-        """Submit until it is acknowledged."""
+        """Submit a version until it is acknowledged."""
         async with asyncio.timeout(WAIT_S):
             while True:
                 got = await self.submitter(host).submit_routes(
@@ -89,7 +89,7 @@
                 await asyncio.sleep(0.05)
 
     async def read(self, host):
-        """Read until the answer is sure; its version."""
+        """Return the newest version, once a read is confirmed."""
         async with asyncio.timeout(WAIT_S):
             while True:
                 got = await self.submitter(host).newest_routes()
--- a/tests/control/test_command_submitter.py
+++ b/tests/control/test_command_submitter.py
@@ -1,4 +1,4 @@
-"""Announcements and farewells at a control host."""
+"""Announcements and departures of runners at a control host."""
 
 import asyncio
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 class Group:
-    """A group of one that commits at once."""
+    """A group that commits each command at once."""
 
     def __init__(self):
         self.state = control_state.ControlState(max_claim_bytes=1000)
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Host:
-    """A control host, as far as a submitter reads it."""
+    """The attributes of a control host that a command submitter reads."""
 
     config: Group
     now_s: float = 0.0
@@ -63,11 +63,12 @@
     )
 
 
-def test_an_unknown_service_drives_no_runner_out():
-    """A message names a service that there is not, and a real address.
+def test_an_unknown_service_removes_no_runner():
+    """Guards against an announcement that removes another runner.
 
-    Whoever sent it is no runner. Taken, it drives out the runner that
-    holds the address: a new one takes its address over.
+    The announcement has an unknown service and the address of a registered
+    runner. If it were accepted, the sender would take over the address and
+    the registered runner would be removed.
     """
 
     async def work():
@@ -95,7 +96,7 @@
     asyncio.run(work())
 
 
-def test_a_late_farewell_of_an_earlier_life_takes_no_place_in_the_log():
+def test_a_late_departure_from_before_a_restart_is_not_logged():
     async def work():
         submitter, state = make_submitter()
         again = dataclasses.replace(note('i-1', '10.0.0.1:80'), started_ms=9)
@@ -109,13 +110,13 @@
 
 
 def test_a_large_change_has_more_time_to_reach_the_leader():
-    """An operator's change is never acknowledged.
+    """Guards against a large change that is never acknowledged.
 
-    It reaches a host that has to pass it on. With the time of a small
-    change, one of 10,000 routes is cut on a poor link, sent again, and
-    cut again.
+    A follower forwards the operator's change to the leader. With the timeout
+    of a small change, a change of 10,000 routes times out on a slow link
+    each time that it is sent.
     """
-    given_s = []
+    timeouts_s = []
 
     class NotLeading(Group):
         leader_host = 'leader'
@@ -136,7 +137,7 @@
 
     class Link:
         async def call(self, *, timeout_s, **rest):
-            given_s.append(timeout_s)
+            timeouts_s.append(timeout_s)
             return call_failed.CallFailed(
                 kind=call_failed.FailureKind.TIMEOUT, sent=True
             )
@@ -147,7 +148,7 @@
             http=Link(),
             parse_services=lambda parts: frozenset(),
         )
-        # Half of it goes by compression.
+        # Compression halves the size.
         large = random.Random(1).randbytes(2_400_000).hex()
         for text in ('{}', large):
             got = await submitter.submit_routes(
@@ -156,5 +157,5 @@
             assert isinstance(got, command_submitter.Unconfirmed)
 
     asyncio.run(work())
-    small_s, large_s = given_s
+    small_s, large_s = timeouts_s
     assert large_s >= small_s + 0.5
--- a/tests/control/test_control_client.py
+++ b/tests/control/test_control_client.py
@@ -31,28 +31,28 @@
         )
 
 
-def test_askers_do_not_turn_each_other_away():
-    """The leader is killed, another leads, and claims still wait.
+def test_concurrent_posts_do_not_move_each_other_off_the_leader():
+    """Guards against calls that cycle through the hosts despite a leader.
 
-    Each asker that met the dead host turned the shared pointer away
-    from the leader that another had just found: for seconds all of them
-    walked round in step, with a leader in good health.
+    After a change of leader, each call that failed at the dead host moved
+    the shared URL on from the leader that another call had just found. For
+    seconds all calls cycled through the hosts in step.
     """
 
-    async def story():
+    async def run():
         http = _Hosts()
         http.calls = 0
         urls = ['http://leader', 'http://dead', 'http://follower']
         client = control_client.ControlClient(urls=urls, http=http)
         client._next_url = 'http://dead'
 
-        async def ask():
+        async def post():
             return await client.post(path='/x', body={}, timeout_s=5.0)
 
-        got = await asyncio.gather(ask(), ask())
+        got = await asyncio.gather(post(), post())
         assert all(isinstance(one, control_client.Answered) for one in got)
-        # The quick one: dead host, follower, leader. The slow one: dead
-        # host, then at once the leader.
+        # The fast call tries the dead host, the follower and the leader; the
+        # slow call tries the dead host and then the leader.
         assert http.calls == 5
 
-    asyncio.run(story())
+    asyncio.run(run())
--- a/tests/control/test_control_hosts.py
+++ b/tests/control/test_control_hosts.py
@@ -35,9 +35,9 @@
 
 
 def test_manifests_claims_and_fences(tmp_path):
-    """Two operators race with one number; an answer is lost and resent."""
+    """Two operators submit the same number, and one sends it twice."""
 
-    async def story():
+    async def run():
         async with control_fleet.running(tmp_path) as fleet:
             client = fleet.client()
             first = await _submit(client, 4, 'pipeline-a')
@@ -88,11 +88,11 @@
             ]
             assert fences == [1, 2, 3]
 
-    asyncio.run(story())
+    asyncio.run(run())
 
 
 class _DropsAnswers(caller.Caller):
-    """The connection goes silent after each claim was sent."""
+    """Drops the response to each claim."""
 
     __slots__ = ('drops',)
 
@@ -106,14 +106,14 @@
 
 
 def test_grant_with_a_lost_answer_is_withdrawn(tmp_path):
-    """A secretary is told that her entry was not run, and asks again.
+    """Guards against a claim that blocks its key although no call was made.
 
-    The claim was written but its answer never came, so the call was
-    not sent. Her next try must not find that dead claim and be told
-    for ever that the entry may have run.
+    The claim was written but the response was lost, so the call was not
+    sent and the caller got ``not_run``. The next attempt must not find that
+    claim and report forever that the call may have run.
     """
 
-    async def story():
+    async def run():
         async with control_fleet.running(tmp_path) as fleet:
             http = _DropsAnswers()
             http.drops = True
@@ -129,13 +129,13 @@
             found = await fleet.store().claim(**CLAIM, timeout_s=5.0)
             assert isinstance(found, claim_store.ClaimFound)
 
-    asyncio.run(story())
+    asyncio.run(run())
 
 
 def test_isolated_host_answers_not_run(tmp_path):
-    """One control host hears nobody; callers ask it and it says no."""
+    """A control host without contact to the others runs no command."""
 
-    async def story():
+    async def run():
         async with control_fleet.running(tmp_path) as fleet:
             assert await _claim(fleet, 'before')
             await fleet.stop('c2')
@@ -154,17 +154,17 @@
                 await fleet.store('c1').claim(**CLAIM, timeout_s=0.5), NOT_MADE
             )
 
-    asyncio.run(story())
+    asyncio.run(run())
 
 
-def test_leader_with_a_full_disk_steps_back(tmp_path):
-    """The leader's disk fills up while claims come in.
+def test_leader_with_a_full_disk_steps_down(tmp_path):
+    """The leader's disk fills up while claims are made.
 
-    It says so and acknowledges nothing more; another leads, and every
-    claim that was granted is found there.
+    The leader reports the failure and acknowledges nothing more. Another
+    host becomes leader, and every granted claim is found there.
     """
 
-    async def story():
+    async def run():
         files = {host: failing_files.FailingFiles() for host in 'abc'}
         fleet = control_fleet.ControlFleet(tmp_path, hosts=('a', 'b', 'c'))
         for host in fleet.hosts:
@@ -172,14 +172,14 @@
         try:
             await fleet.ready()
             granted = []
-            for place in range(10):
-                got = await _claim(fleet, f'k{place}')
+            for number in range(10):
+                got = await _claim(fleet, f'k{number}')
                 assert isinstance(got, claim_store.ClaimGranted)
-                granted.append(f'k{place}')
+                granted.append(f'k{number}')
             former = fleet.leader(1)
             files[former].error = errno.ENOSPC
             await asyncio.gather(
-                *(_claim(fleet, f'late{place}') for place in range(5))
+                *(_claim(fleet, f'late{number}') for number in range(5))
             )
             node = fleet.servers[former].node
             await fleet.until(lambda: node.failure)
@@ -192,22 +192,22 @@
             for host in list(fleet.servers):
                 await fleet.stop(host)
 
-    asyncio.run(story())
+    asyncio.run(run())
 
 
 def test_lost_disk_then_a_second_failure(tmp_path):
-    """A control host's disk dies; right after its repair another host.
+    """One control host loses its disk, and after its repair another fails.
 
-    The empty host comes back as a new replica and counts once it has
-    caught up; then the group goes on without the second host, and every
-    granted claim is known. A fourth host then takes its place.
+    The empty host returns as a new replica and becomes a voter once it has
+    caught up. The group then works without the second host, and every
+    granted claim is found. A fourth host then replaces the second.
     """
 
-    async def story():
+    async def run():
         hosts = ('c1', 'c2', 'c3')
         async with control_fleet.running(tmp_path, hosts=hosts) as fleet:
-            for place in range(20):
-                await _claim(fleet, f'k{place}')
+            for number in range(20):
+                await _claim(fleet, f'k{number}')
             former = fleet.servers['c2'].node.folder.replica_id
             await fleet.stop('c2')
             fleet.lose_disk('c2')
@@ -216,15 +216,15 @@
             assert node.folder.replica_id != former
 
             def repaired():
-                return all(counts_again(group) for group in (0, 1))
+                return all(is_voter(group) for group in (0, 1))
 
-            def counts_again(group):
+            def is_voter(group):
                 leader = fleet.leader(group)
                 if leader is None or fleet.voters(group) != set(hosts):
                     return False
                 replica = fleet.servers[leader].node.groups[group].replica
-                # Not committed, the change is lost with its leader, and
-                # the new replica counts for nothing.
+                # An uncommitted change is lost with its leader, and the new
+                # replica is then no voter.
                 return (
                     node.folder.replica_id in replica.membership.voters
                     and replica.commit_index >= replica.log.membership_index
@@ -232,9 +232,9 @@
 
             await fleet.until(repaired)
             await fleet.stop('c3')
-            for place in range(20):
-                got = await _claim(fleet, f'k{place}', 'c1', 'c2')
-                assert isinstance(got, claim_store.ClaimFound), place
+            for number in range(20):
+                got = await _claim(fleet, f'k{number}', 'c1', 'c2')
+                assert isinstance(got, claim_store.ClaimFound), number
             fleet.ports['c4'] = control_fleet.free_port()
             fleet.start('c4', peers=('c1', 'c2', 'c4'))
             await fleet.until(lambda: fleet.leader(0) and fleet.leader(1))
@@ -253,4 +253,4 @@
                 )
             )
 
-    asyncio.run(story())
+    asyncio.run(run())
--- a/tests/control/test_control_state.py
+++ b/tests/control/test_control_state.py
@@ -1,4 +1,4 @@
-"""Claims, fences and manifests against an oracle of dicts."""
+"""Claims, fences and manifests, compared with a model made of dicts."""
 
 import hypothesis
 from hypothesis import stateful
@@ -15,10 +15,10 @@
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Tries, lost answers, withdrawals, outcomes and restarts.
+    """Claims, lost responses, withdrawals, outcomes and restarts.
 
-    ``held`` is the token that may make the call, by key: it was granted
-    and its holder has not said that nothing was sent.
+    ``held`` has, for each key, the token that may make the call: its claim
+    was granted and not withdrawn.
     """
 
     def __init__(self):
@@ -66,7 +66,7 @@
 
     @stateful.rule(key=KEYS, token=TOKENS)
     def withdraw(self, key, token):
-        # A holder withdraws only a token whose call it did not send.
+        # Holders withdraw only tokens whose call they did not send.
         if key in self.outcomes and self.held[key] == token:
             return
         self.apply(
--- a/tests/control/test_journal.py
+++ b/tests/control/test_journal.py
@@ -46,7 +46,7 @@
     return [entry.index for entry in folder.saved(group).entries]
 
 
-def test_writes_of_two_groups_come_back(tmp_path):
+def test_writes_of_two_groups_are_restored(tmp_path):
     folder = _open(tmp_path)
     _write(folder, agreement.SaveVote(term=3, voted_for='c2.x'))
     _write(folder, _entries(1, 4), _snapshot(2), group=1)
@@ -64,10 +64,10 @@
 
 
 def test_torn_tail_is_cut_at_any_byte(tmp_path, caplog):
-    """The host loses power while it writes.
+    """The host loses power during a write.
 
-    A part of the last frame is on disk. It was never acknowledged; it
-    is cut with a log line, and all that was synced before is there.
+    A part of the last frame is on disk. It was never acknowledged, so it is
+    truncated with a log message, and all synced frames are restored.
     """
     folder = _open(tmp_path / 'whole')
     _write(folder, _entries(1, 3))
@@ -77,29 +77,29 @@
     folder.close()
     data = path.read_bytes()
     for end in range(synced + 1, len(data)):
-        place = tmp_path / f'cut-{end}'
-        place.mkdir()
+        copy = tmp_path / f'cut-{end}'
+        copy.mkdir()
         for name in ('identity.json', 'lock'):
             text = (tmp_path / 'whole' / name).read_bytes()
-            (place / name).write_bytes(text)
-        (place / 'journal').write_bytes(data[:end])
+            (copy / name).write_bytes(text)
+        (copy / 'journal').write_bytes(data[:end])
         caplog.clear()
         with caplog.at_level(logging.WARNING):
-            cut = _open(place)
+            truncated = _open(copy)
         assert 'torn last write' in caplog.text
-        assert _indexes(cut) == [1, 2, 3]
-        _write(cut, _entries(4, 4))
-        cut.close()
-        again = _open(place)
+        assert _indexes(truncated) == [1, 2, 3]
+        _write(truncated, _entries(4, 4))
+        truncated.close()
+        again = _open(copy)
         assert _indexes(again) == [1, 2, 3, 4]
         again.close()
 
 
 def test_corrupt_middle_is_refused(tmp_path):
-    """A bit rots in the middle of the journal.
+    """A bit flips in the middle of the journal.
 
-    The frame was acknowledged. Dropping it, or what follows, would be a
-    guess: the process says where it is and leaves all as it was.
+    The frame may have been acknowledged, so neither it nor the frames after
+    it are dropped. The process reports the offset and changes nothing.
     """
     folder = _open(tmp_path)
     _write(folder, _entries(1, 3))
@@ -107,9 +107,9 @@
     folder.close()
     path = tmp_path / 'journal'
     data = bytearray(path.read_bytes())
-    for place in range(0, len(data) // 2, 7):
+    for position in range(0, len(data) // 2, 7):
         broken = bytearray(data)
-        broken[place] ^= 0x10
+        broken[position] ^= 0x10
         path.write_bytes(broken)
         with pytest.raises(folder_error.FolderError, match='damaged at byte'):
             _open(tmp_path)
@@ -134,10 +134,11 @@
     ('last_term', 'kept'), [(1, [4, 5]), (2, [])], ids=['own', 'another']
 )
 def test_crash_between_snapshot_and_journal(tmp_path, last_term, kept):
-    """A leader's snapshot is in place, its record in the journal isn't.
+    """A snapshot file was written, but not its record in the journal.
 
-    Entries behind it stay only if the journal's entry at the snapshot's
-    place is of the same term: others belong to a log that lost.
+    Entries after the snapshot are kept only if the journal's entry at the
+    snapshot's index has the same term. Otherwise they belong to a log that
+    was overwritten.
     """
     folder = _open(tmp_path)
     _write(folder, _entries(1, 5))
@@ -160,10 +161,10 @@
 
 
 def test_lost_disk_is_a_new_replica(tmp_path):
-    """A disk is replaced by an empty one, or loses a part.
+    """A disk is replaced by an empty one, or a file of it is lost.
 
-    The empty folder's replica has another identity; a folder that lost
-    its journal or its identity alone is refused.
+    An empty folder gets a new replica identity. A folder that lacks only
+    its journal or its identity is refused.
     """
     folder = _open(tmp_path / 'a')
     _write(folder, _entries(1, 1))
@@ -185,11 +186,11 @@
 @pytest.mark.parametrize('at', ['write', 'sync'])
 @pytest.mark.parametrize('error', [errno.ENOSPC, errno.EROFS, errno.EIO])
 def test_failed_write_is_never_trusted_again(tmp_path, at, error):
-    """The disk fills, turns read-only, or fails a sync.
+    """The disk becomes full or read-only, or a sync fails.
 
-    A second sync may succeed without the lost pages, so the journal
-    takes no further write even when the disk works again. After a
-    restart all that was acknowledged is there.
+    A second sync may succeed without the lost pages, so the journal accepts
+    no further write even if the disk works again. After a restart all
+    acknowledged entries are restored.
     """
     files = failing_files.FailingFiles()
     folder = _open(tmp_path, files=files)
@@ -206,7 +207,7 @@
     again.close()
 
 
-def test_journal_is_written_anew_after_a_snapshot(tmp_path):
+def test_journal_is_rewritten_after_a_snapshot(tmp_path):
     folder = _open(tmp_path, rewrite_bytes=2000)
     for index in range(1, 200):
         _write(folder, _entries(index, index))
@@ -220,7 +221,7 @@
     again.close()
 
 
-def test_unwritable_folder_is_explained(tmp_path):
+def test_error_of_an_unwritable_folder_has_the_cause(tmp_path):
     files = failing_files.FailingFiles()
     files.error = errno.ENOSPC
     with pytest.raises(folder_error.FolderError, match='ENOSPC'):
--- a/tests/control/test_large_changes.py
+++ b/tests/control/test_large_changes.py
@@ -1,4 +1,4 @@
-"""Control hosts agree on large configurations, many of them."""
+"""Control hosts that commit many large configurations."""
 
 import asyncio
 
@@ -9,11 +9,12 @@
 from tests.forwarding import large_routes
 
 HOSTS = [f'127.0.0.{n}' for n in range(31, 34)]
-# Within which a host that is back counts as caught up.
+# Time within which a restarted host has to catch up.
 CATCH_UP_S = 4.0
-# Three times the goal, so that the work stands out of the noise.
+# Three times the largest configuration to support, so that the duration is
+# measurable.
 ROUTES = 30_000
-# A fifth of the disk of 128 MB that a control host has.
+# A fifth of a control host's disk of 128 MB.
 KEPT_BYTES = 25_000_000
 
 
@@ -32,26 +33,26 @@
 
 
 def test_a_host_catches_up_with_many_large_changes(tmp_path):
-    """A control host that was away for a minute never comes back.
+    """Guards against a control host that never catches up after a minute.
 
-    Forty configurations of 2,800 routes were acknowledged meanwhile.
-    They went to it in one message of 30 MB, which took longer than its
-    deadline and was sent again without end. The next two losses would
-    have stopped the group.
+    While the host was down, forty configurations of 2,800 routes were
+    acknowledged. They were sent to it in one message of 30 MB, which took
+    longer than its timeout and was sent again without end. The loss of two
+    more hosts would have stopped the group.
     """
 
     async def work(fleet):
-        away = HOSTS[2]
+        stopped = HOSTS[2]
         await fleet.submit(HOSTS[0], 1)
-        await fleet.stop(away)
+        await fleet.stop(stopped)
         for version in range(2, 42):
             document = large_routes.text(version, 2800)
             await fleet.submit(HOSTS[0], version, document)
-        fleet.start(away, may_found=False)
-        state = fleet.servers[away].node.config
+        fleet.start(stopped, may_found=False)
+        group = fleet.servers[stopped].node.config
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
-        while state.state.routes is None or state.state.routes.version < 41:
+        while group.state.routes is None or group.state.routes.version < 41:
             await asyncio.sleep(0.05)
             assert loop.time() - begun_s < CATCH_UP_S
 
@@ -59,10 +60,10 @@
 
 
 def _bytes_in(folder):
-    """Return the size of all files of a folder.
+    """Return the size of all files in a folder.
 
-    A snapshot is renamed when it is whole; a listing that it was renamed
-    in is made again, so that no file is left out.
+    Snapshot files are renamed when they are complete. If this happens during
+    a listing, the listing is repeated, so that no file is left out.
     """
     while True:
         try:
@@ -72,11 +73,11 @@
 
 
 def test_hundreds_of_large_changes_do_not_fill_the_disk(tmp_path):
-    """Late in a day with many changes, control hosts stop one by one.
+    """Guards against control hosts that run out of disk after many changes.
 
-    Snapshots came after 10,000 entries, however large these are. Some
-    two hundred configurations of 2,800 routes fill a disk of 128 MB,
-    and as much memory.
+    Snapshots were taken only after 10,000 entries, regardless of their
+    size. About two hundred configurations of 2,800 routes fill a disk of
+    128 MB and as much memory.
     """
 
     async def work(fleet):
@@ -93,11 +94,12 @@
 
 
 def test_an_entry_is_far_smaller_than_the_configuration():
-    """A change is not acknowledged, however often it is sent.
+    """Guards against a change that is never acknowledged.
 
-    On a busy machine, each try to commit 7,000 routes ended the leader's
-    term: heartbeats waited behind an entry of megabytes, which followers
-    took long to read. Every control host reads, keeps and syncs it.
+    On a busy machine, each attempt to commit 7,000 routes ended the leader's
+    term: heartbeats waited behind an entry of several megabytes, which
+    followers took long to read. Every control host reads, stores and syncs
+    each entry.
     """
     text = large_routes.text(2, 10_000)
     command = commands.SubmitRoutes(version=2, digest='d', text=text)
@@ -113,11 +115,11 @@
     )
 
 
-def test_cutting_a_large_configuration_does_not_hold_the_loop_up():
-    """A control host falls silent while it reads a configuration.
+def test_splitting_a_large_configuration_does_not_block_the_event_loop():
+    """Guards against heartbeats that are delayed by a large configuration.
 
-    On a busy machine, 7,000 routes took longer to cut than a leader may
-    be silent, on all control hosts at the same moment.
+    On a busy machine, splitting 7,000 routes took longer than the election
+    timeout, on all control hosts at the same time.
     """
 
     async def work():
--- a/tests/control/test_metrics.py
+++ b/tests/control/test_metrics.py
@@ -7,16 +7,16 @@
 from tests.control import seed_fleet
 
 
-def test_a_control_host_shows_what_it_knows(tmp_path):
+def test_a_control_host_exports_its_metrics(tmp_path):
     async def work():
         fleet = seed_fleet.SeedFleet(tmp_path, ['127.0.0.41'], 0)
         fleet.start('127.0.0.41')
         port = control_fleet.free_port()
-        part = metrics_component.MetricsComponent(
+        component = metrics_component.MetricsComponent(
             node=fleet.servers['127.0.0.41'].node,
             listen=listen_settings.ListenSettings(port=port),
         )
-        part.start()
+        component.start()
         try:
             await fleet.submit('127.0.0.41', 7)
             await asyncio.sleep(0.1)
@@ -27,7 +27,7 @@
             )
             text = got.body.decode()
         finally:
-            part.stop()
+            component.stop()
             await fleet.stop_all()
         lines = [
             line.partition('{')[0] + ' ' + line.rpartition(' ')[2]
--- a/tests/control/test_peer_link.py
+++ b/tests/control/test_peer_link.py
@@ -13,7 +13,7 @@
 
 
 class Posted:
-    """Takes batches as another control host would."""
+    """Records batches in place of another control host."""
 
     def __init__(self):
         self.batches = []
@@ -47,7 +47,7 @@
 
 
 def play(work):
-    """Return the batches that are posted while some work is done."""
+    """Run a coroutine with a link and return the posted batches."""
     posted = Posted()
     reports = host_reports.HostReports(live_s=10.0, forget_s=100.0)
     for n in range(HOSTS):
@@ -70,20 +70,20 @@
     return posted.batches
 
 
-def test_heartbeats_do_not_carry_what_grows_with_the_hosts():
-    """Each message between control hosts told of every entry host."""
+def test_heartbeats_do_not_grow_with_the_number_of_entry_hosts():
+    """Guards against reports of all entry hosts in every message."""
 
     async def work(link, reports):
         await post(link, 20)
 
     batches = play(work)
     assert len(batches) >= 10
-    told = [len(one.get('hosts', {})) for one in batches]
-    assert told[0] == HOSTS
-    assert sum(told) == HOSTS
+    reported = [len(batch.get('hosts', {})) for batch in batches]
+    assert reported[0] == HOSTS
+    assert sum(reported) == HOSTS
 
 
-def test_a_change_of_a_host_goes_with_the_next_message():
+def test_a_changed_report_is_part_of_the_next_message():
     async def work(link, reports):
         await post(link, 3)
         reports.note('h5', 8, boot_clock.now_s())
--- a/tests/control/test_quarantine.py
+++ b/tests/control/test_quarantine.py
@@ -23,7 +23,7 @@
     return _apply(state, commands.NoteCrashes(crashes=[row]), index)
 
 
-def test_hosts_hear_of_a_request_with_its_third_crash():
+def test_a_request_is_quarantined_with_its_third_crash():
     state = _state()
     for number in range(3):
         _crash(state, number, 10 + number)
@@ -37,7 +37,10 @@
 
 
 def test_a_snapshot_keeps_crashes_and_trials():
-    """A host that missed the entries must not let it run again."""
+    """Guards against a host that runs a quarantined request again.
+
+    The host received a snapshot instead of the log entries.
+    """
     state = _state()
     for number in range(3):
         _crash(state, number, 1 + number)
@@ -72,13 +75,13 @@
     assert later_s > delay_s
 
 
-def test_a_new_leader_waits_anew():
+def test_a_new_leader_restarts_the_delay():
     times = trial_times.TrialTimes()
     times.wait_s('bad', 0, 100.0)
     assert trial_times.TrialTimes().wait_s('bad', 0, 101.0) == 2.0
 
 
-def test_waits_take_a_bounded_place():
+def test_the_number_of_stored_delays_is_bounded():
     times = trial_times.TrialTimes()
     for number in range(1000):
         times.wait_s(f'f{number}', 0, 1.0)
--- a/tests/control/test_recent_routes.py
+++ b/tests/control/test_recent_routes.py
@@ -1,4 +1,4 @@
-"""Control hosts keep the last configurations, and the ways between them."""
+"""The last configurations on a control host, and updates between them."""
 
 import gzip
 import json
@@ -12,15 +12,15 @@
 
 def note(recent, version, routes):
     text = large_routes.text(version, routes)
-    found = routes_store.RoutesInForce(
+    in_force = routes_store.RoutesInForce(
         version=version, digest=large_routes.digest(text), text=text
     )
-    recent.note(found)
-    return found
+    recent.note(in_force)
+    return in_force
 
 
 def whole(update):
-    """Return an update from its slices."""
+    """Return an update assembled from its slices."""
     text = ''
     while True:
         body = routes_update_body.RoutesSliceBody.model_validate_json(
@@ -33,7 +33,7 @@
             ).to_update()
 
 
-def test_one_more_route_is_told_in_line():
+def test_an_update_by_one_route_is_sent_inline():
     recent = recent_routes.RecentRoutes()
     before = note(recent, 1, 3000)
     after = note(recent, 2, 3001)
@@ -46,7 +46,7 @@
     assert held.apply(body.to_update()) == recent.get(after.digest)
 
 
-def test_who_holds_nothing_known_begins_from_nothing():
+def test_an_unknown_base_gets_an_update_from_an_empty_configuration():
     recent = recent_routes.RecentRoutes()
     after = note(recent, 2, 1500)
     update = recent.update('unknown', after.digest)
@@ -58,7 +58,7 @@
 
 
 def test_slices_are_small_on_the_wire():
-    """Each must pass a link of 5 Mbit/s in some hundredths of a second."""
+    """Each slice must take only some 10 ms on a link of 5 Mbit/s."""
     recent = recent_routes.RecentRoutes()
     after = note(recent, 2, 10_000)
     update = recent.update('', after.digest)
--- a/tests/control/test_replacements.py
+++ b/tests/control/test_replacements.py
@@ -1,11 +1,11 @@
 from limpetroute.control import replacements
 
 
-def test_orders_lapse_on_all_hosts_though_they_tell_each_other():
-    """An operator's order went round between hosts for ever.
+def test_orders_expire_on_all_hosts_although_they_exchange_them():
+    """Guards against an order that hosts send to each other forever.
 
-    Each took it from the other as new after its own had lapsed, and the
-    replaced host could never be put back.
+    Each host accepted the order from the other as new after its own had
+    expired, so the replaced host could never be put back.
     """
     one = replacements.Replacements()
     other = replacements.Replacements()
--- a/tests/control/test_routes_store.py
+++ b/tests/control/test_routes_store.py
@@ -7,11 +7,11 @@
 @hypothesis.given(
     st.lists(st.tuples(st.integers(1, 5), st.sampled_from('xyz')), min_size=1)
 )
-def test_the_highest_version_stays_with_its_first_content(sends):
+def test_the_highest_version_keeps_its_first_content(sends):
     """Two operators send configurations at the same time.
 
-    Whoever reads afterwards must get the highest version, with the
-    content that was first accepted under it, whatever comes again.
+    Later reads must return the highest version with the content that was
+    first accepted for it, even if versions are sent again.
     """
     newest = None
     first = {}
--- a/tests/control/test_runner_table.py
+++ b/tests/control/test_runner_table.py
@@ -1,4 +1,4 @@
-"""Announcements that come late, twice, out of order, or from the dead."""
+"""Announcements that are late, repeated, out of order or from old runs."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -29,17 +29,18 @@
     )
 
 
-def test_a_heartbeat_that_says_nothing_new_is_not_logged():
+def test_a_heartbeat_without_a_change_is_not_logged():
     table = runner_table.RunnerTable()
     table.note(note('a', 1), 1)
     assert not table.is_update(note('a', 2))
     assert table.is_update(note('a', 2, DRAINING))
 
 
-def test_a_late_heartbeat_does_not_call_a_leaving_runner_back():
-    """A runner says that it leaves; its last "ready" comes after that.
+def test_a_late_heartbeat_does_not_end_a_runners_draining():
+    """Guards against new requests at a runner that is about to stop.
 
-    Taken, new requests would go to a runner that is about to end.
+    A runner announces that it is draining, and its last "ready" heartbeat
+    arrives after that.
     """
     table = runner_table.RunnerTable()
     table.note(note('a', 1), 1)
@@ -49,7 +50,7 @@
     assert table.get('a').state == DRAINING
 
 
-def test_a_late_heartbeat_does_not_bring_a_gone_runner_back():
+def test_a_late_heartbeat_does_not_add_a_gone_runner_again():
     table = runner_table.RunnerTable()
     table.note(note('a', 1), 1)
     table.forget('a', 2)
@@ -58,14 +59,14 @@
     assert not list(table)
 
 
-def test_a_farewell_may_come_before_the_first_announcement():
+def test_a_departure_may_arrive_before_the_first_announcement():
     table = runner_table.RunnerTable()
     table.forget('a', 1)
     table.note(note('a', 1), 2)
     assert table.get('a').state == GONE
 
 
-def test_a_new_runner_takes_its_address_over():
+def test_a_new_runner_takes_over_its_address():
     table = runner_table.RunnerTable()
     table.note(note('old', 7), 1)
     table.note(note('new', 1), 2)
@@ -74,12 +75,13 @@
     assert table.get('old').state == GONE
 
 
-def test_a_runner_that_starts_again_under_its_identity_is_taken():
-    """A runner crashes after 40 heartbeats and starts again as itself.
+def test_a_runner_that_restarts_under_its_identity_is_accepted():
+    """Guards against a restarted runner that gets no requests.
 
-    Its first heartbeat bears the number 1. Taken for one that comes
-    late, the runner stayed as it was; one that had said that it leaves
-    stayed so for good, and no request went there again.
+    A runner crashes after 40 heartbeats and restarts under its identity.
+    Its first heartbeat has the sequence number 1. When this was treated as
+    a late heartbeat, the runner kept its old state; a draining runner kept
+    draining forever.
     """
     table = runner_table.RunnerTable()
     table.note(note('a', 40, DRAINING, started_ms=1000), 1)
@@ -89,7 +91,7 @@
     assert table.get('a').state == READY
 
 
-def test_a_runner_that_left_may_start_again():
+def test_a_runner_that_left_may_restart():
     table = runner_table.RunnerTable()
     table.note(note('a', 40, started_ms=1000), 1)
     table.forget('a', 2)
@@ -101,8 +103,8 @@
     assert len(table.dump()) == 1
 
 
-def test_a_farewell_of_an_earlier_life_takes_no_runner_away():
-    """A farewell is held up by a cut, and its runner is back by then."""
+def test_a_departure_from_before_a_restart_removes_no_runner():
+    """A departure message is delayed until its runner has restarted."""
     table = runner_table.RunnerTable()
     table.note(note('a', 1, started_ms=2000), 1)
     table.forget('a', 2, started_ms=1000)
@@ -112,9 +114,9 @@
 
 
 def test_logs_and_snapshots_of_an_earlier_version_can_be_read():
-    """After an upgrade, a host starts from what the old one wrote.
+    """After an upgrade, a host starts with data of the earlier release.
 
-    Its entries know nothing of a runner's start.
+    Its entries and snapshots lack the runner's start time.
     """
     old = b'["NoteRunner","a","10.0.0.1:80","{}",3,"ready"]'
     command = commands.decode(old)
@@ -125,7 +127,7 @@
     assert table.changed_index == 7
 
 
-def test_watchers_get_what_changed_since():
+def test_watchers_get_the_rows_changed_since_an_index():
     table = runner_table.RunnerTable()
     table.note(note('a', 1), 1)
     table.note(note('b', 1, address='10.0.0.2:80'), 2)
@@ -137,26 +139,26 @@
     assert table.next_after(3, 10) == ([], 3)
 
 
-def test_many_runners_are_told_in_bounded_answers():
-    """A host that starts must not need one answer for 1,800 runners."""
+def test_many_runners_are_returned_in_bounded_batches():
+    """A starting host must not need one response with 1,800 runners."""
     table = runner_table.RunnerTable()
     for number in range(1, 8):
         table.note(
             note(f'r{number}', 1, address=f'10.0.0.{number}:80'), number
         )
-    # One place in the log for two runners: one takes the other's address.
+    # Two runners change at one log index: one takes the other's address.
     table.note(note('r8', 1, address='10.0.0.7:80'), 8)
     index = 0
-    heard = []
+    received = []
     while index < table.changed_index:
         rows, index = table.next_after(index, 3)
         assert len(rows) <= 4
-        heard.extend(row.runner_id for row in rows)
-    assert heard[:6] == ['r1', 'r2', 'r3', 'r4', 'r5', 'r6']
-    assert sorted(heard[6:]) == ['r7', 'r8']
+        received.extend(row.runner_id for row in rows)
+    assert received[:6] == ['r1', 'r2', 'r3', 'r4', 'r5', 'r6']
+    assert sorted(received[6:]) == ['r7', 'r8']
 
 
-def test_a_new_host_is_not_told_of_runners_that_left():
+def test_a_new_host_does_not_receive_runners_that_left():
     table = runner_table.RunnerTable()
     table.note(note('a', 1), 1)
     table.note(note('b', 1, address='10.0.0.2:80'), 2)
@@ -176,16 +178,19 @@
 
 @hypothesis.given(st.lists(STEP, max_size=30))
 def test_a_runner_only_moves_forward_and_addresses_are_unique(steps):
-    """Each life of a runner moves forward, and lives do too."""
+    """A runner's state and start time only move forward."""
     table = runner_table.RunnerTable()
     ranks = {}
     order = [READY, DRAINING, GONE]
-    for index, (name, sequence, state, address, life) in enumerate(steps, 1):
+    for index, step in enumerate(steps, 1):
+        name, sequence, state, address, started_ms = step
         if state == GONE:
-            table.forget(name, index, started_ms=life)
+            table.forget(name, index, started_ms=started_ms)
         else:
-            said = note(name, sequence, state, address, started_ms=life)
-            table.note(said, index)
+            command = note(
+                name, sequence, state, address, started_ms=started_ms
+            )
+            table.note(command, index)
         addresses = [row.address for row in table]
         assert len(addresses) == len(set(addresses))
         for one in 'abc':
--- a/tests/control/test_seeds.py
+++ b/tests/control/test_seeds.py
@@ -1,4 +1,4 @@
-"""A group that founds and mends itself from a few seeds."""
+"""A group that bootstraps from seeds and repairs its membership."""
 
 import asyncio
 import errno
@@ -23,23 +23,23 @@
     asyncio.run(whole())
 
 
-async def found(fleet, hosts=HOSTS):
+async def bootstrap(fleet, hosts=HOSTS):
     for host in hosts:
         fleet.start(host)
     await fleet.until(lambda: fleet.voters() == sorted(HOSTS))
 
 
-def test_seeds_found_and_the_others_join(tmp_path):
+def test_seeds_bootstrap_and_the_others_join(tmp_path):
     async def work(fleet):
-        await found(fleet, list(reversed(HOSTS)))
+        await bootstrap(fleet, list(reversed(HOSTS)))
         await fleet.submit(HOSTS[4], 3)
         assert await fleet.read(HOSTS[0]) == 3
 
     run(tmp_path, work)
 
 
-def test_nothing_is_acknowledged_before_the_group_is_whole(tmp_path):
-    """Acknowledged by three, it is gone with two of their disks."""
+def test_nothing_is_acknowledged_before_the_group_is_complete(tmp_path):
+    """An entry on three hosts would be lost with the disks of two."""
 
     async def work(fleet):
         for host in SEEDS:
@@ -57,7 +57,7 @@
     run(tmp_path, work)
 
 
-def test_a_seed_that_restarts_while_founding_founds_no_second_group(tmp_path):
+def test_a_seed_that_restarts_during_bootstrap_makes_no_second_group(tmp_path):
     async def work(fleet):
         for host in SEEDS:
             fleet.start(host)
@@ -67,12 +67,12 @@
         for host in HOSTS[3:]:
             fleet.start(host)
         await fleet.until(lambda: fleet.voters() == sorted(HOSTS))
-        terms = {
+        bootstrapped = {
             server.node.folder.bootstrap_replicas is not None
             for host, server in fleet.servers.items()
             if host in SEEDS
         }
-        assert terms == {True}
+        assert bootstrapped == {True}
 
     run(tmp_path, work)
 
@@ -80,13 +80,12 @@
 def test_two_lost_disks_at_once_lose_nothing(tmp_path):
     """Two hosts lose their disks right after an acknowledgement.
 
-    They come back empty at their addresses. What was acknowledged must
-    be there, and the group whole again, with new replicas in place of
-    the lost ones.
+    They restart with empty disks at their addresses. The acknowledged entry
+    must still be there, and new replicas must replace the lost ones.
     """
 
     async def work(fleet):
-        await found(fleet)
+        await bootstrap(fleet)
         await fleet.submit(HOSTS[0], 5)
         lost = HOSTS[:2]
         await fleet.stop(*lost)
@@ -103,11 +102,11 @@
     run(tmp_path, work)
 
 
-def test_a_newcomer_takes_the_place_of_one_that_is_gone(tmp_path):
-    """A host is gone for good, an empty one comes at another address."""
+def test_a_new_host_replaces_a_host_that_is_gone(tmp_path):
+    """A host is gone for good, and an empty host starts elsewhere."""
 
     async def work(fleet):
-        await found(fleet)
+        await bootstrap(fleet)
         await fleet.submit(HOSTS[0], 5)
         await fleet.stop(HOSTS[1])
         fleet.start(NEW, may_found=False)
@@ -119,9 +118,9 @@
     run(tmp_path, work)
 
 
-def test_a_host_that_is_away_is_not_removed_without_a_successor(tmp_path):
+def test_an_unresponsive_host_is_not_removed_without_a_successor(tmp_path):
     async def work(fleet):
-        await found(fleet)
+        await bootstrap(fleet)
         await fleet.stop(HOSTS[1])
         await asyncio.sleep(7.0)
         assert fleet.voters() == sorted(HOSTS)
@@ -130,10 +129,10 @@
 
 
 def test_all_restart_at_once_with_other_seeds(tmp_path):
-    """The settings name seeds that are gone; the disks know the rest."""
+    """The seeds in the settings are gone; the members are on the disks."""
 
     async def work(fleet):
-        await found(fleet)
+        await bootstrap(fleet)
         await fleet.submit(HOSTS[0], 9)
         await fleet.stop_all()
         for host in HOSTS:
@@ -143,9 +142,9 @@
     run(tmp_path, work)
 
 
-def test_a_cut_off_host_says_that_it_is_not_sure(tmp_path):
+def test_an_isolated_host_does_not_confirm_a_read(tmp_path):
     async def work(fleet):
-        await found(fleet)
+        await bootstrap(fleet)
         await fleet.submit(HOSTS[0], 2)
         await fleet.stop(*HOSTS[:3])
         await asyncio.sleep(1.5)
@@ -156,10 +155,10 @@
 
 
 def test_a_disk_that_was_full_is_used_again(tmp_path):
-    """A disk takes no more bytes for some seconds, then it does.
+    """A disk is full for some seconds and then has free space again.
 
-    Its replica steps back, rightly. Without a way back, the next two
-    hosts whose disks fill up stop the group for good.
+    The replica fails correctly. If it did not recover, two more hosts with
+    full disks would stop the group for good.
     """
 
     async def work(fleet):
--- a/tests/control/test_submit.py
+++ b/tests/control/test_submit.py
@@ -1,4 +1,4 @@
-"""From an operator's shell to the entry hosts."""
+"""The submit command, from the shell to the entry hosts."""
 
 import asyncio
 import json
@@ -12,12 +12,12 @@
 from tests.control import control_fleet
 
 IN_FORCE_S = 2.0
-# The bound of the page, and room for a machine that is busy.
-ROOM_S = 3.0
+# Tolerance on top of the documented limit, for a busy machine.
+TOLERANCE_S = 3.0
 
 
 class Hosts:
-    """Entry hosts' watches, and each revision they put in force."""
+    """Manifest watches of entry hosts, and the revisions they applied."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -60,9 +60,9 @@
 
 
 def test_submit_until_in_force_everywhere(tmp_path, capsys):
-    """A pipeline submits, resends, races and comes too late."""
+    """Submits, resends, conflicting and stale manifests."""
 
-    async def story():
+    async def run():
         async with control_fleet.running(tmp_path) as fleet:
             hosts = Hosts(fleet)
             for name in ('e1', 'e2'):
@@ -76,7 +76,7 @@
             began_s = time.monotonic()
             first = _manifest(tmp_path, 7, sender='a')
             assert await _submit(fleet, first) == 0
-            assert time.monotonic() - began_s < IN_FORCE_S + ROOM_S
+            assert time.monotonic() - began_s < IN_FORCE_S + TOLERANCE_S
             assert 'in force on all 2 hosts' in capsys.readouterr().out
             assert [seen[-1] for seen in hosts.seen.values()] == [7, 7]
             assert await _submit(fleet, first, '--json') == 0
@@ -93,7 +93,7 @@
             assert await _submit(fleet, bad) == 2
             assert 'pools.0.models' in capsys.readouterr().err
 
-            # A host that is away is named, and catches up in one step.
+            # An unresponsive host is reported, and catches up in one step.
             hosts.stop('e2')
             assert await _submit(fleet, _manifest(tmp_path, 9)) == 1
             assert 'not yet on: e2' in capsys.readouterr().out
@@ -118,8 +118,8 @@
             assert not hosts.watches['e2'].offer(old)
             assert hosts.watches['e2'].number == 209
 
-            # Control is gone: a restarted host keeps its revision, and
-            # takes no work by its setting.
+            # Without control hosts, a restarted entry host keeps its
+            # revision and refuses work, according to its settings.
             for host in fleet.hosts:
                 await fleet.stop(host)
             hosts.stop('e2')
@@ -147,17 +147,17 @@
             for name in list(hosts.watches):
                 hosts.stop(name)
 
-    asyncio.run(story())
+    asyncio.run(run())
 
 
 def test_lost_leader_gives_unknown_and_resending_settles(tmp_path):
-    """The quorum is lost while a manifest is on its way.
+    """The quorum is lost while a manifest is being submitted.
 
-    The answer is ``unknown`` within the time given, not a wait without
-    end; sent again once the hosts are back, it is settled.
+    The outcome is ``unknown`` within the timeout. After the hosts have
+    restarted, sending the manifest again settles it.
     """
 
-    async def story():
+    async def run():
         async with control_fleet.running(tmp_path) as fleet:
             leader = fleet.leader(0)
             for host in fleet.hosts:
@@ -168,7 +168,7 @@
             lost = await client.post(
                 path='/v1/manifest', body={'number': 3}, timeout_s=1.0
             )
-            assert time.monotonic() - began_s < 1.0 + ROOM_S
+            assert time.monotonic() - began_s < 1.0 + TOLERANCE_S
             assert type(lost).__name__ == 'Unknown', lost
             for host in fleet.hosts:
                 if host != leader:
@@ -178,4 +178,4 @@
             )
             assert again.body['outcome'] == 'accepted'
 
-    asyncio.run(story())
+    asyncio.run(run())
