--- a/tests/control/test_runner_table.py
+++ b/tests/control/test_runner_table.py
@@ -182,14 +182,11 @@
     table = runner_table.RunnerTable()
     ranks = {}
     order = [READY, DRAINING, GONE]
-    for index, step in enumerate(steps, 1):
-        name, sequence, state, address, started_ms = step
+    for index, (name, sequence, state, address, start) in enumerate(steps, 1):
         if state == GONE:
-            table.forget(name, index, started_ms=started_ms)
+            table.forget(name, index, started_ms=start)
         else:
-            command = note(
-                name, sequence, state, address, started_ms=started_ms
-            )
+            command = note(name, sequence, state, address, started_ms=start)
             table.note(command, index)
         addresses = [row.address for row in table]
         assert len(addresses) == len(set(addresses))
--- a/tests/dispatch/test_late_orders.py
+++ b/tests/dispatch/test_late_orders.py
@@ -45,10 +45,10 @@
         due = [change for change in self.changes if change[0] <= self.now_s]
         for change in due:
             self.changes.remove(change)
-            _, name, stage_name = change
-            for stage in (builders.PREFILL, builders.DECODE):
-                if stage.value == stage_name:
-                    self.stages[name] = stage
+            _, name, stage = change
+            for candidate in (builders.PREFILL, builders.DECODE):
+                if candidate.value == stage:
+                    self.stages[name] = candidate
         return [
             builders.make_runner(name, stage, port=n + 1)
             for n, (name, stage) in enumerate(self.stages.items())
