--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -28,7 +28,7 @@
 # Orders wait until no runner has been added or changed for this long.
 # Runners are added one after another, and an order given after the first
 # may be unnecessary after the next. Heartbeats are sent every 1.2 s, so
-# each runner sends one in this time. Runners that leave cause no wait:
+# each runner sends a heartbeat in this time. Runners that leave cause no wait:
 # without prefill runners, decode runners prefill between their tokens.
 SETTLE_S = 1.4
 # A longer wait while a fleet starts: its runners start within seconds of
