--- a/limpetroute/control/command_submitter.py
+++ b/limpetroute/control/command_submitter.py
@@ -10,7 +10,7 @@
 from limpetroute.control import results
 from limpetroute.control import routes_store
 from limpetroute.control import verdicts
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
@@ -58,7 +58,7 @@
         node: node_module.Node,
         http: caller.Caller,
         parse_services: typing.Callable[
-            [typing.Sequence[routes_parts.Part]], frozenset[str]
+            [typing.Sequence[config_fragments.ConfigFragment]], frozenset[str]
         ],
     ) -> None:
         self._node = node
@@ -172,7 +172,7 @@
         """
         node = self._node
         group = node.config
-        if not group.replica.in_touch(node.now_s):
+        if not group.replica.has_active_leader(node.now_s):
             return Unconfirmed(reason='out of touch with the group')
         named = await self._named_services()
         if named and service not in named:
--- a/limpetroute/control/data_folder.py
+++ b/limpetroute/control/data_folder.py
@@ -2,7 +2,7 @@
 
 import pathlib
 
-from limpetroute.agreement import founding as founding_module
+from limpetroute.agreement import bootstrap
 from limpetroute.agreement import saved_state
 from limpetroute.agreement import snapshot as snapshot_module
 from limpetroute.control import bootstrap_file
@@ -125,7 +125,7 @@
         """Return the state that a group's replica starts from."""
         first = snapshot_module.Snapshot()
         if self.bootstrap_replicas is not None:
-            first = founding_module.found(self.bootstrap_replicas).snapshot
+            first = bootstrap.initial_state(self.bootstrap_replicas).snapshot
         return self.journal.saved(group, first)
 
     def close(self) -> None:
--- a/limpetroute/control/recent_routes.py
+++ b/limpetroute/control/recent_routes.py
@@ -5,8 +5,8 @@
 
 from limpetroute.border import routes_update_body
 from limpetroute.control import routes_store
+from limpetroute.routing import config_fragments
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 
 MAX_VERSIONS = 32
 MAX_BYTES = 16 << 20
@@ -110,13 +110,13 @@
     def store_fragments(
         self,
         routes: routes_store.RoutesInForce,
-        parts: tuple[routes_parts.Part, ...],
+        fragments: tuple[config_fragments.ConfigFragment, ...],
     ) -> None:
         """Store the fragments of a version, unless it has been dropped."""
         if self._texts.get(routes.digest) is not routes:
             return
         self._copies[routes.digest] = routes_copy.RoutesCopy(
-            version=routes.version, digest=routes.digest, parts=parts
+            version=routes.version, digest=routes.digest, parts=fragments
         )
 
     def get(self, digest: str) -> routes_copy.RoutesCopy | None:
@@ -126,7 +126,7 @@
             return None
         known = self._copies.get(digest)
         if known is None:
-            self.store_fragments(routes, routes_parts.split(routes.text))
+            self.store_fragments(routes, config_fragments.split(routes.text))
             known = self._copies[digest]
         return known
 
--- a/limpetroute/control/routes_splitter.py
+++ b/limpetroute/control/routes_splitter.py
@@ -5,7 +5,7 @@
 from limpetroute.control import control_state
 from limpetroute.control import recent_routes
 from limpetroute.control import routes_store
-from limpetroute.routing import routes_parts
+from limpetroute.routing import config_fragments
 
 
 class RoutesSplitter:
@@ -40,7 +40,9 @@
         routes: routes_store.RoutesInForce,
     ) -> None:
         try:
-            parts = await asyncio.to_thread(routes_parts.split, routes.text)
-            recent.store_fragments(routes, parts)
+            fragments = await asyncio.to_thread(
+                config_fragments.split, routes.text
+            )
+            recent.store_fragments(routes, fragments)
         finally:
             del self._running[routes.digest]
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -113,12 +113,12 @@
         self._pending[request.request_id] = _Pending(
             request=request, future=future
         )
-        scheduler.ask(request, boot_clock.now_s())
+        scheduler.submit(request, boot_clock.now_s())
         self._request_pass(request.service)
         try:
             return await future
         except asyncio.CancelledError:
-            scheduler.withdraw(request.request_id)
+            scheduler.cancel(request.request_id)
             raise
         finally:
             self._pending.pop(request.request_id, None)
@@ -127,7 +127,7 @@
         """Remove a waiting stream whose caller disconnected."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.withdraw(request_id)
+            scheduler.cancel(request_id)
 
     def note_prefill_done(
         self, service: str, request_id: str, attempt: int
@@ -135,7 +135,9 @@
         """Note that a prefill runner has finished a prompt."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.read(request_id, attempt, boot_clock.now_s())
+            scheduler.note_prefill_done(
+                request_id, attempt, boot_clock.now_s()
+            )
             self._request_pass(service)
 
     def note_first_event(
@@ -157,18 +159,18 @@
         scheduler = self._scheduler(service)
         if scheduler is not None:
             now_s = boot_clock.now_s()
-            scheduler.first_event(request_id, attempt, took_s, now_s)
+            scheduler.note_first_event(request_id, attempt, took_s, now_s)
             self._request_pass(service)
 
     def release(self, service: str, release: placement.Release) -> None:
         """Release a stream's reservation."""
         scheduler = self._scheduler(service)
         if scheduler is not None:
-            scheduler.end(release, boot_clock.now_s())
+            scheduler.release(release, boot_clock.now_s())
             self._request_pass(service)
 
     def acquire_token(
-        self, report: runner_limits.Report, *, has_request: bool
+        self, report: runner_limits.LimitReport, *, has_request: bool
     ) -> float | None:
         """Acquire the right to send one request to a rate-limited runner.
 
@@ -184,14 +186,14 @@
         """
         self._note_term()
         now_s = boot_clock.now_s()
-        runner_id = report.life.runner_id
-        self._limits.note(report, now_s)
+        runner_id = report.incarnation.runner_id
+        self._limits.note_limit(report, now_s)
         if not has_request:
             return None
         if self._limits.has_token(runner_id, now_s):
             self._limits.take(runner_id, now_s)
             return None
-        return self._limits.turn_s(runner_id, now_s)
+        return self._limits.retry_wait_s(runner_id, now_s)
 
     def restore(
         self,
@@ -204,7 +206,7 @@
         self._note_term()
         scheduler = self._scheduler(request.service)
         if scheduler is not None:
-            scheduler.adopt(reserved, request, boot_clock.now_s())
+            scheduler.restore(reserved, request, boot_clock.now_s())
 
     async def _run(self) -> None:
         while True:
@@ -284,7 +286,7 @@
     def _forget_runner(self, runner_id: str) -> None:
         """Drop all state of a runner that has restarted."""
         for scheduler in self._schedulers.values():
-            scheduler.forget_runner(runner_id)
+            scheduler.reset_runner(runner_id)
 
     def _request_pass(self, service: str) -> None:
         """Schedule one pass over a service's streams on the event loop.
@@ -323,7 +325,7 @@
                     'outcome': type(answer).__name__,
                     **_detail(answer),
                     **(_inputs(pending.request) if pending else {}),
-                    'held': scheduler.held,
+                    'held': scheduler.reservation_count,
                     'waiting': scheduler.waiting,
                     'tokens_per_s': round(scheduler.tokens_per_s),
                     'term': self._led_term,
--- a/limpetroute/dispatch/placement_handlers.py
+++ b/limpetroute/dispatch/placement_handlers.py
@@ -9,7 +9,7 @@
 from limpetroute.border import errors
 from limpetroute.border import forecast_header
 from limpetroute.border import limit_bodies
-from limpetroute.border import place_bodies
+from limpetroute.border import placement_bodies
 from limpetroute.dispatch import dispatcher as dispatcher_module
 from limpetroute.routing import placement
 from limpetroute.telemetry import boot_clock
@@ -41,12 +41,12 @@
 
     async def post(self) -> None:
         """Reply with a placement, a rejection, or 421 if not the leader."""
-        asked = self.parse(place_bodies.AskBody)
+        asked = self.parse(placement_bodies.PlacementRequestBody)
         if asked is None:
             return
-        assert isinstance(asked, place_bodies.AskBody)
+        assert isinstance(asked, placement_bodies.PlacementRequestBody)
         self._task = asyncio.create_task(
-            self.dispatcher.request_placement(asked.ask())
+            self.dispatcher.request_placement(asked.to_request())
         )
         try:
             answer = await self._task
@@ -77,11 +77,11 @@
 
     def post(self) -> None:
         """Release a reservation."""
-        body = self.parse(place_bodies.EndBody)
+        body = self.parse(placement_bodies.ReleaseBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.EndBody)
-        self.dispatcher.release(body.service, body.end())
+        assert isinstance(body, placement_bodies.ReleaseBody)
+        self.dispatcher.release(body.service, body.to_release())
         self.set_status(204)
 
 
@@ -90,10 +90,10 @@
 
     def post(self) -> None:
         """Note that a prefill runner has finished a prompt."""
-        body = self.parse(place_bodies.ReadBody)
+        body = self.parse(placement_bodies.PrefillDoneBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.ReadBody)
+        assert isinstance(body, placement_bodies.PrefillDoneBody)
         self.dispatcher.note_prefill_done(
             body.service, body.request_id, body.attempt
         )
@@ -105,10 +105,10 @@
 
     def post(self) -> None:
         """Note the first event of a stream prefilled by its decode runner."""
-        body = self.parse(place_bodies.FirstEventBody)
+        body = self.parse(placement_bodies.FirstEventBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.FirstEventBody)
+        assert isinstance(body, placement_bodies.FirstEventBody)
         self.dispatcher.note_first_event(
             body.service, body.request_id, body.attempt, body.took_s
         )
@@ -120,12 +120,14 @@
 
     def post(self) -> None:
         """Restore the reservations that an entry host holds."""
-        body = self.parse(place_bodies.HeldBody)
+        body = self.parse(placement_bodies.ReservationsBody)
         if body is None:
             return
-        assert isinstance(body, place_bodies.HeldBody)
+        assert isinstance(body, placement_bodies.ReservationsBody)
         for held in body.held:
-            self.dispatcher.restore(held.place(), held.asked.ask())
+            self.dispatcher.restore(
+                held.to_placement(), held.asked.to_request()
+            )
         self.set_status(204)
 
 
@@ -143,6 +145,6 @@
             self.finish({'reason': 'this host does not lead'})
             return
         wait_s = self.dispatcher.acquire_token(
-            body.report(boot_clock.now_s()), has_request=body.takes
+            body.to_report(boot_clock.now_s()), has_request=body.takes
         )
         self.finish({'allowed': wait_s is None, 'wait_s': wait_s or 0.0})
--- a/limpetroute/dispatch/stage_orders.py
+++ b/limpetroute/dispatch/stage_orders.py
@@ -6,10 +6,10 @@
 import typing
 
 from limpetroute.dispatch import order_codec
+from limpetroute.routing import pool_sizing
 from limpetroute.routing import runner_info
 from limpetroute.routing import service as service_module
 from limpetroute.routing import stage_rates
-from limpetroute.routing import stage_split
 from limpetroute.wire import call_failed
 from limpetroute.wire import caller
 
@@ -141,7 +141,7 @@
             if runner.runner_id in self._ordered_s
         ]
         gone_s = gone_s or {}
-        change = stage_split.next_change(
+        change = pool_sizing.next_change(
             runners,
             engine=service.engine,
             changing=changing,
@@ -152,10 +152,12 @@
             self._wanted_s.pop(service.name, None)
             return
         wanted_s = self._wanted_s.setdefault(service.name, now_s)
-        decode_runners = stage_split.writers_after(
+        decode_runners = pool_sizing.decode_runners_during_change(
             change, runners, gone_s=gone_s
         )
-        if now_s - wanted_s < stage_split.wait_s(change, decode_runners):
+        if now_s - wanted_s < pool_sizing.change_delay_s(
+            change, decode_runners
+        ):
             return
         target = next(
             runner
@@ -270,7 +272,7 @@
     async def _order(
         self,
         target: runner_info.RunnerInfo,
-        change: stage_split.StageChange,
+        change: pool_sizing.StageChange,
         rates: stage_rates.StageRates | None,
     ) -> None:
         order = self._codec.stage_order(
--- a/limpetroute/forwarding/dialect.py
+++ b/limpetroute/forwarding/dialect.py
@@ -6,8 +6,8 @@
 from tornado import httputil
 
 from limpetroute.forwarding import caller_request
+from limpetroute.routing import config_fragments
 from limpetroute.routing import route_plan
-from limpetroute.routing import routes_parts
 from limpetroute.wire import small_call
 
 
@@ -28,12 +28,12 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class SendNote:
+class SendOptions:
     """What a runner is told beside the caller's own request.
 
     Parameters
     ----------
-    left_s : float
+    remaining_s : float
         Time left for the answer.
     runner_id : str
         The runner that is meant; another one at its address refuses.
@@ -45,7 +45,7 @@
         Event to go on after; None for what the caller asked.
     """
 
-    left_s: float
+    remaining_s: float
     runner_id: str
     prefill_only: bool = False
     kv_source: KvSource | None = None
@@ -65,14 +65,14 @@
         """Decode a caller's request."""
 
     def runner_headers(
-        self, request: caller_request.CallerRequest, note: SendNote
+        self, request: caller_request.CallerRequest, note: SendOptions
     ) -> httputil.HTTPHeaders:
         """Return the headers for a runner."""
 
-    def refused(self, status: int, headers: httputil.HTTPHeaders) -> bool:
+    def is_refusal(self, status: int, headers: httputil.HTTPHeaders) -> bool:
         """Return whether a runner proves that it did not run a request."""
 
-    def misdirected(self, status: int) -> bool:
+    def is_misdirected(self, status: int) -> bool:
         """Return whether another runner than the one meant answers."""
 
     def rate_limit_text(self, headers: httputil.HTTPHeaders) -> str | None:
@@ -82,7 +82,7 @@
         long as its answers say so; None where it names none.
         """
 
-    def belongs(
+    def belongs_to(
         self,
         request: caller_request.CallerRequest,
         headers: httputil.HTTPHeaders,
@@ -94,7 +94,7 @@
     ) -> httputil.HTTPHeaders:
         """Return what of a runner's headers the caller gets."""
 
-    def own_headers(
+    def local_reply_headers(
         self, request: caller_request.CallerRequest
     ) -> httputil.HTTPHeaders:
         """Return the headers of an answer of this host's own."""
@@ -102,13 +102,17 @@
     def read_handle(self, body: bytes) -> str:
         """Return the handle of a prefill's result; `ValueError` if none."""
 
-    def free_handle(self, handle: str, runner_id: str) -> small_call.SmallCall:
+    def free_handle_call(
+        self, handle: str, runner_id: str
+    ) -> small_call.SmallCall:
         """Return the call that frees a prefill's result."""
 
-    def prepare_plan(self, parts: typing.Iterable[routes_parts.Part]) -> None:
+    def prepare_plan(
+        self, parts: typing.Iterable[config_fragments.ConfigFragment]
+    ) -> None:
         """Decode parts ahead, so that `read_plan` of them is short."""
 
     def read_plan(
-        self, parts: typing.Sequence[routes_parts.Part]
+        self, parts: typing.Sequence[config_fragments.ConfigFragment]
     ) -> route_plan.RoutePlan:
         """Decode a routing configuration."""
--- a/limpetroute/forwarding/forwarder.py
+++ b/limpetroute/forwarding/forwarder.py
@@ -5,14 +5,14 @@
 
 from limpetroute.forwarding import caller_request
 from limpetroute.forwarding import forward_context
-from limpetroute.forwarding import own_answer
+from limpetroute.forwarding import local_reply
 from limpetroute.forwarding import plain_forward
 from limpetroute.forwarding import responder as responder_module
 from limpetroute.forwarding import stream_forward
 from limpetroute.routing import next_step
 from limpetroute.routing import route as route_module
 from limpetroute.routing import route_plan
-from limpetroute.routing import start_wait
+from limpetroute.routing import startup_wait
 
 LOG = logging.getLogger(__name__)
 
@@ -66,24 +66,24 @@
         if plan is None:
             plan = await self._first_plan(request)
         if plan is None:
-            await own_answer.write_status(
+            await local_reply.write_status(
                 context,
                 request=request,
                 route=None,
                 responder=responder,
-                status=own_answer.HTTP_UNAVAILABLE,
+                status=local_reply.HTTP_UNAVAILABLE,
                 reason='no routes are known yet',
-                retry_after_s=own_answer.STARTING_RETRY_AFTER_S,
+                retry_after_s=local_reply.STARTING_RETRY_AFTER_S,
             )
             return
         route = plan.find(request.host, request.path)
         if route is None:
-            await own_answer.write_status(
+            await local_reply.write_status(
                 context,
                 request=request,
                 route=None,
                 responder=responder,
-                status=own_answer.HTTP_NOT_FOUND,
+                status=local_reply.HTTP_NOT_FOUND,
                 reason=f'no route in version {plan.version}',
             )
             return
@@ -94,9 +94,9 @@
     ) -> route_plan.RoutePlan | None:
         """Return the first configuration if it comes soon."""
         loop = asyncio.get_running_loop()
-        limit_s = start_wait.longest_wait_s(
+        limit_s = startup_wait.max_wait_s(
             age_s=loop.time() - self._started_s,
-            patience_s=request.patience_s,
+            deadline_s=request.deadline_s,
         )
         until_s = request.received_s + limit_s
         while self._context.view.plan is None and loop.time() < until_s:
@@ -142,12 +142,12 @@
                 service=name,
                 responder=responder,
             )
-        whole_s = context.left_s(request, route)
+        whole_s = context.remaining_s(request, route)
         try:
             async with asyncio.timeout(whole_s):
                 await forward.run()
         except TimeoutError:
-            await own_answer.write(
+            await local_reply.write(
                 context,
                 request=request,
                 route=route,
--- a/limpetroute/forwarding/scheduler_client.py
+++ b/limpetroute/forwarding/scheduler_client.py
@@ -28,13 +28,15 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class NoScheduler:
+class SchedulerUnavailable:
     """No leader could be asked."""
 
     reason: str
 
 
-Answer = placement.Placement | placement.Rejection | NoScheduler
+PlacementResult = (
+    placement.Placement | placement.Rejection | SchedulerUnavailable
+)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -82,27 +84,32 @@
         if leader_url and self._held:
             self._aside(self._tell_held())
 
-    async def ask(self, ask: placement.PlacementRequest) -> Answer:
+    async def request_placement(
+        self, request_placement: placement.PlacementRequest
+    ) -> PlacementResult:
         """Return a stream's place, once there is one."""
         if not self._leader_url:
-            return NoScheduler(reason='no leader is known')
+            return SchedulerUnavailable(reason='no leader is known')
         if _now_s() < self._unreachable_until_s:
-            return NoScheduler(reason='the leader could not be reached')
+            return SchedulerUnavailable(
+                reason='the leader could not be reached'
+            )
         try:
             got = await self._http.call(
                 method='POST',
                 url=f'{self._leader_url}/v1/places',
-                body=dataclasses.asdict(ask),
-                timeout_s=_answer_due_s(ask) + ASK_MARGIN_S,
+                body=dataclasses.asdict(request_placement),
+                timeout_s=_answer_due_s(request_placement) + ASK_MARGIN_S,
                 connect_tries_s=CONNECT_TRIES_S,
             )
         except asyncio.CancelledError:
             # The place may have been given just now; the answer that
             # names it is lost with this call.
-            self.end(
-                ask.service,
+            self.release(
+                request_placement.service,
                 placement.Release(
-                    request_id=ask.request_id, attempt=ask.attempt
+                    request_id=request_placement.request_id,
+                    attempt=request_placement.attempt,
                 ),
                 known=False,
             )
@@ -110,7 +117,7 @@
         if isinstance(got, call_failed.CallFailed):
             if not got.sent:
                 self._unreachable_until_s = _now_s() + UNREACHABLE_S
-            return NoScheduler(reason=f'the leader: {got.kind.value}')
+            return SchedulerUnavailable(reason=f'the leader: {got.kind.value}')
         try:
             if got.ok and self._untold:
                 self._untold = False
@@ -118,7 +125,7 @@
             if got.status == HTTP_UNAVAILABLE:
                 return placement.Rejection(**got.json())
             if not got.ok:
-                return NoScheduler(reason=f'status {got.status}')
+                return SchedulerUnavailable(reason=f'status {got.status}')
             place = placement.Placement(
                 **got.json(),
                 forecast=forecast_header.decode(
@@ -126,11 +133,11 @@
                 ),
             )
         except (ValueError, TypeError) as exc:
-            return NoScheduler(reason=str(exc))
-        self.note(place, ask)
+            return SchedulerUnavailable(reason=str(exc))
+        self.note_placement(place, request_placement)
         return place
 
-    def note(
+    def note_placement(
         self, place: placement.Placement, ask: placement.PlacementRequest
     ) -> None:
         """Take note of a place that this host holds."""
@@ -138,7 +145,7 @@
             place=place, ask=ask, since_s=_now_s()
         )
 
-    def note_own(
+    def note_local_placement(
         self, place: placement.Placement, ask: placement.PlacementRequest
     ) -> None:
         """Take note of a place that this host gave itself.
@@ -148,13 +155,13 @@
         memory for as long as those streams last.
         """
         self._untold = True
-        self.note(place, ask)
+        self.note_placement(place, ask)
 
     def next_attempt(self) -> int:
         """Return a number that tells one ask for a place from others."""
         return next(self._attempts)
 
-    def end(
+    def release(
         self, service: str, end: placement.Release, *, known: bool = True
     ) -> None:
         """Give a place back; nobody waits for that."""
@@ -163,12 +170,14 @@
         if self._leader_url:
             self._aside(self._tell_end(service, end))
 
-    def read(self, service: str, request_id: str, attempt: int) -> None:
+    def note_prefill_done(
+        self, service: str, request_id: str, attempt: int
+    ) -> None:
         """Tell that a prompt was read apart; nobody waits for that."""
         if self._leader_url and request_id in self._held:
             self._aside(self._tell_read(service, request_id, attempt))
 
-    def first_event(
+    def note_first_event(
         self, service: str, request_id: str, attempt: int, took_s: float
     ) -> None:
         """Tell that a decode runner has read a prompt itself."""
@@ -261,4 +270,4 @@
 
 def _answer_due_s(ask: placement.PlacementRequest) -> float:
     """Return how long the leader may hold this call."""
-    return max(0.0, stream_times.longest_wait_s(ask) - ask.waited_s)
+    return max(0.0, stream_times.max_wait_s(ask) - ask.waited_s)
--- a/limpetroute/routing/room_probe.py
+++ b/limpetroute/routing/capacity_probe.py
@@ -6,7 +6,7 @@
 from limpetroute.routing import placement
 
 
-class RoomProbe:
+class CapacityProbe:
     """Whether waiting streams have room, asked for many at one moment.
 
     A stream with a shorter prompt than one that fits is taken to fit, and
@@ -37,16 +37,16 @@
             f'failing_tokens={self._failing_tokens!r})'
         )
 
-    def has_room(self, ask: placement.PlacementRequest) -> bool:
+    def has_free_runner(self, request: placement.PlacementRequest) -> bool:
         """Return whether a decode runner has room for a stream."""
-        tokens = ask.tokens_to_read
-        if ask.avoid:
-            return self._decode_placement.has_room(ask, self._now_s)
+        tokens = request.prefill_tokens
+        if request.avoid:
+            return self._decode_placement.has_free_runner(request, self._now_s)
         if tokens <= self._fitting_tokens:
             return True
         if tokens >= self._failing_tokens:
             return False
-        if self._decode_placement.has_room(ask, self._now_s):
+        if self._decode_placement.has_free_runner(request, self._now_s):
             self._fitting_tokens = tokens
             return True
         self._failing_tokens = tokens
--- a/limpetroute/routing/room_index.py
+++ b/limpetroute/routing/free_memory_index.py
@@ -7,7 +7,7 @@
 from limpetroute.routing import runner_info
 
 
-class RoomIndex:
+class FreeMemoryIndex:
     """The decode runners that may be used, most free memory first."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         """Return the memory that a runner has free."""
         return self._free_tokens[runner_id]
 
-    def most_free(
+    def by_free_memory(
         self, zone: str | None = None
     ) -> typing.Iterator[tuple[float, runner_info.RunnerInfo]]:
         """Yield runners and their free memory, most first.
--- a/limpetroute/routing/local_placement.py
+++ b/limpetroute/routing/local_placement.py
@@ -11,11 +11,11 @@
 
 # A host that decides alone knows no measured pauses: up to this length,
 # a prompt holds streams of the longest events up for less than 300 ms.
-LONGEST_SELF_READ_TOKENS = 5500
+MAX_SELF_PREFILL_TOKENS = 5500
 
 
-def may_self_read_alone(
-    ask: placement.PlacementRequest, *, entry_hosts: int
+def may_self_prefill_locally(
+    request: placement.PlacementRequest, *, entry_hosts: int
 ) -> bool:
     """Return whether a host may have a decode runner read this prompt.
 
@@ -27,7 +27,7 @@
     """
     if entry_hosts <= 1:
         return True
-    return ask.tokens_to_read <= LONGEST_SELF_READ_TOKENS
+    return request.prefill_tokens <= MAX_SELF_PREFILL_TOKENS
 
 
 def choose_decode(
@@ -36,7 +36,7 @@
     engine: service_module.Engine,
     loads: typing.Mapping[str, runner_load.RunnerLoad],
     tokens: int,
-    part: float,
+    share: float,
     tried: typing.Collection[str],
     now_s: float,
     rng: random.Random,
@@ -76,12 +76,12 @@
         load = loads.get(one.runner_id) or runner_load.RunnerLoad()
         if load.is_limited(now_s) or load.seems_full(engine.slots, now_s):
             continue
-        if load.requests and load.requests >= engine.slots * part:
+        if load.requests and load.requests >= engine.slots * share:
             continue
-        memory_tokens = engine.memory_tokens * min(1.0, part)
+        memory_tokens = engine.memory_tokens * min(1.0, share)
         if load.requests and load.tokens + tokens > memory_tokens:
             continue
-        rank = (load.rests(now_s), load.tokens, rng.random())
+        rank = (load.is_ejected(now_s), load.tokens, rng.random())
         if best_rank is None or rank < best_rank:
             best, best_rank = one, rank
     return best
@@ -101,7 +101,7 @@
         if not one.ready or one.stage is not stage_module.Stage.PREFILL:
             continue
         load = loads.get(one.runner_id) or runner_load.RunnerLoad()
-        if load.rests(now_s) or load.is_limited(now_s):
+        if load.is_ejected(now_s) or load.is_limited(now_s):
             continue
         rank = (load.tokens, rng.random())
         if best_rank is None or rank < best_rank:
--- a/tests/control/test_quarantine.py
+++ b/tests/control/test_quarantine.py
@@ -85,4 +85,4 @@
     times = trial_times.TrialTimes()
     for number in range(1000):
         times.wait_s(f'f{number}', 0, 1.0)
-    assert len(times._since) == trial_times.quarantine.KEPT_REQUESTS
+    assert len(times._since) == trial_times.quarantine.MAX_QUARANTINED_REQUESTS
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -64,7 +64,7 @@
         self.dispatcher = dispatcher_module.Dispatcher(node=node, codec=codec)
 
     async def place(self, name, **fields):
-        request = builders.make_ask(name, **fields)
+        request = builders.make_request(name, **fields)
         return await self.dispatcher.request_placement(request)
 
 
@@ -105,7 +105,7 @@
 
 def test_a_long_decision_yields_to_other_tasks(monkeypatch):
     """Guards against heartbeats delayed until a whole burst is placed."""
-    monkeypatch.setattr(stream_scheduler, 'MOST_ROOM_CHECKS', 1)
+    monkeypatch.setattr(stream_scheduler, 'MAX_FIT_CHECKS', 1)
     decisions = count_decisions(monkeypatch)
     ticks = []
 
--- a/tests/forwarding/test_limits.py
+++ b/tests/forwarding/test_limits.py
@@ -4,9 +4,9 @@
 import dataclasses
 
 from limpetroute.forwarding import fleet_view
-from limpetroute.forwarding import limit_client
+from limpetroute.forwarding import rate_limit_client
 from limpetroute.platform import http_dialect
-from limpetroute.routing import plain_choice
+from limpetroute.routing import plain_runner_choice
 from limpetroute.routing import route_kind
 from limpetroute.wire import call_failed
 from limpetroute.wire import reply
@@ -35,7 +35,7 @@
         self.view = fleet_view.FleetView(dialect=http_dialect.HttpDialect())
         self.runner = builders.make_runner('r', None, started_ms=5)
         self.view._runners['r'] = self.runner
-        self.client = limit_client.LimitClient(
+        self.client = rate_limit_client.RateLimitClient(
             http=leader, view=self.view, entry_hosts=lambda: hosts
         )
         self.client.follow('http://leader')
@@ -48,7 +48,7 @@
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         assert await host.take()
         assert not leader.calls
 
@@ -59,7 +59,7 @@
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         assert await host.take()
         assert [one['takes'] for one in leader.calls] == [True]
         assert leader.calls[0]['limit_per_s'] == 3.0
@@ -77,11 +77,11 @@
 
 def test_a_host_without_a_leader_sends_a_part_of_its_share(monkeypatch):
     """Hosts that are cut off together stay within the limit."""
-    monkeypatch.setattr(limit_client, 'UNREACHABLE_S', 0.02)
+    monkeypatch.setattr(rate_limit_client, 'UNREACHABLE_S', 0.02)
 
     async def work():
         host = Host(Leader(None), hosts=2)
-        host.client.note(host.runner, 40.0)
+        host.client.note_limit(host.runner, 40.0)
         sent = 0
         until_s = asyncio.get_running_loop().time() + 1.0
         while asyncio.get_running_loop().time() < until_s:
@@ -96,7 +96,7 @@
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         await asyncio.sleep(0.01)
         leader.calls.clear()
         host.client.follow('http://other')
@@ -108,23 +108,23 @@
 
 def test_that_a_limit_is_taken_back_is_told_until_it_is_known(monkeypatch):
     """The leader would place streams by a limit that is gone."""
-    monkeypatch.setattr(limit_client, 'UNREACHABLE_S', 0.0)
-    monkeypatch.setattr(limit_client, 'REPORT_AGAIN_S', 0.0)
+    monkeypatch.setattr(rate_limit_client, 'UNREACHABLE_S', 0.0)
+    monkeypatch.setattr(rate_limit_client, 'REPORT_AGAIN_S', 0.0)
 
     async def work():
         leader = Leader()
         host = Host(leader)
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         await asyncio.sleep(0.01)
         leader.body = None
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         await asyncio.sleep(0.01)
         leader.body = Leader().body
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         await asyncio.sleep(0.01)
         assert leader.calls[-1]['limit_per_s'] is None
         count = len(leader.calls)
-        host.client.note(host.runner, None)
+        host.client.note_limit(host.runner, None)
         await asyncio.sleep(0.01)
         assert len(leader.calls) == count
         assert await host.take()
@@ -135,7 +135,7 @@
 def test_a_runner_that_started_again_has_no_limit_yet():
     async def work():
         host = Host(Leader())
-        host.client.note(host.runner, 3.0)
+        host.client.note_limit(host.runner, 3.0)
         again = dataclasses.replace(host.runner, started_ms=6)
         host.view._runners['r'] = again
         host.view.loads.pop('r')
@@ -151,10 +151,10 @@
     args = {'loads': view.loads, 'tried': (), 'now_s': 10.0}
     rng = harness.random.Random(1)
     for _ in range(20):
-        one = plain_choice.choose(runners, zone='a', rng=rng, **args)
+        one = plain_runner_choice.choose(runners, zone='a', rng=rng, **args)
         assert one.runner_id == 'r2'
-    assert plain_choice.limit_wait_s(runners[:1], **args) == 10.3 - 10.0
-    assert plain_choice.limit_wait_s(runners[1:], **args) == 0.0
+    assert plain_runner_choice.limit_wait_s(runners[:1], **args) == 10.3 - 10.0
+    assert plain_runner_choice.limit_wait_s(runners[1:], **args) == 0.0
 
 
 def _named(text):
--- a/tests/forwarding/test_routes_loader.py
+++ b/tests/forwarding/test_routes_loader.py
@@ -9,8 +9,8 @@
 from limpetroute.forwarding import fleet_view
 from limpetroute.forwarding import routes_loader
 from limpetroute.platform import http_dialect
+from limpetroute.routing import config_fragments
 from limpetroute.routing import routes_copy
-from limpetroute.routing import routes_parts
 from limpetroute.wire import reply
 from tests.forwarding import large_routes
 
@@ -21,7 +21,7 @@
     return routes_copy.RoutesCopy(
         version=version,
         digest=large_routes.digest(text),
-        parts=routes_parts.split(text),
+        parts=config_fragments.split(text),
     )
 
 
@@ -80,10 +80,10 @@
             version=2,
             digest=newest.digest,
             base='',
-            steps=(routes_copy.Added(array='', texts=('{}',)),),
+            steps=(routes_copy.NewFragments(array='', texts=('{}',)),),
         )
         view, loader = make(ControlHost(newest))
-        loader.hear(notice(newest, wrong))
+        loader.notify(notice(newest, wrong))
         assert view.plan is None
         await asyncio.sleep(0.1)
         assert view.routes == newest
@@ -104,13 +104,13 @@
         host = ControlHost(broken)
         view, loader = make(host)
         update = routes_copy.update_between(routes_copy.RoutesCopy(), broken)
-        loader.hear(notice(broken, update if inline else None))
+        loader.notify(notice(broken, update if inline else None))
         await asyncio.sleep(1.0)
         assert view.plan is None
         assert 2 <= host.calls <= 6
         good = copy(3, large_routes.text(3, 5))
         host.__init__(good)
-        loader.hear(notice(good))
+        loader.notify(notice(good))
         async with asyncio.timeout(5.0):
             while view.routes != good:
                 await asyncio.sleep(0.02)
@@ -125,7 +125,7 @@
     async def work():
         newest = copy(2, large_routes.text(2, 5))
         view, loader = make(ControlHost(newest, status=404))
-        loader.hear(notice(newest))
+        loader.notify(notice(newest))
         assert loader.version == 2
         await asyncio.sleep(0.2)
         assert loader.version == 0
