--- a/limpetroute/control/base_handler.py
+++ b/limpetroute/control/base_handler.py
@@ -75,7 +75,7 @@
             return
         self._not_run(reason)
 
-    def show(self, outcome: str, result: results.Result) -> None:
+    def reply(self, outcome: str, result: results.Result) -> None:
         """Reply with an outcome and a result's fields."""
         body = {'outcome': outcome, **dataclasses.asdict(result)}
         self.set_header('Content-Type', 'application/json')
--- a/limpetroute/control/bootstrap_file.py
+++ b/limpetroute/control/bootstrap_file.py
@@ -19,7 +19,9 @@
         return None
     try:
         body = json.loads(data)
-        return {str(host): str(one) for host, one in body.items()}
+        return {
+            str(host): str(replica_id) for host, replica_id in body.items()
+        }
     except (ValueError, AttributeError) as exc:
         raise folder_error.FolderError(
             message=f'{path}: damaged: {data[:60]!r}'
--- a/limpetroute/control/claim_handlers.py
+++ b/limpetroute/control/claim_handlers.py
@@ -29,7 +29,7 @@
         if result is None:
             return
         granted = isinstance(result, results.Granted)
-        self.show('granted' if granted else 'found', result)
+        self.reply('granted' if granted else 'found', result)
 
     def get(self) -> None:
         """Return one claim from this host's state."""
@@ -65,7 +65,7 @@
         group = self.node.claim_group(body.team, body.key)
         result = await self.commit(group, command, body.timeout_s)
         if result is not None:
-            self.show('withdrawn', result)
+            self.reply('withdrawn', result)
 
 
 class SettleHandler(base_handler.BaseHandler):
@@ -93,7 +93,7 @@
         group = self.node.claim_group(body.team, body.key)
         result = await self.commit(group, command, body.timeout_s)
         if result is not None:
-            self.show('settled', result)
+            self.reply('settled', result)
 
 
 class FenceHandler(base_handler.BaseHandler):
@@ -110,4 +110,4 @@
             body.timeout_s,
         )
         if result is not None:
-            self.show('given', result)
+            self.reply('given', result)
--- a/limpetroute/control/command_handler.py
+++ b/limpetroute/control/command_handler.py
@@ -22,7 +22,7 @@
             command, self.node.settings.commit_timeout_s
         )
         if isinstance(verdict, verdicts.Committed):
-            self.show('committed', verdict.result)
+            self.reply('committed', verdict.result)
             return
         if isinstance(verdict, verdicts.Unknown):
             self.set_status(base_handler.UNKNOWN)
--- a/limpetroute/control/command_submitter.py
+++ b/limpetroute/control/command_submitter.py
@@ -174,8 +174,8 @@
         group = node.config
         if not group.replica.has_active_leader(node.now_s):
             return Unconfirmed(reason='out of touch with the group')
-        named = await self._named_services()
-        if named and service not in named:
+        services = await self._services_in_force()
+        if services and service not in services:
             LOG.warning(
                 'an announcement names an unknown service',
                 extra={'runner': command.runner_id, 'service': service},
@@ -217,7 +217,7 @@
         )
         return got if isinstance(got, Unconfirmed) else results.Done()
 
-    async def _named_services(self) -> frozenset[str]:
+    async def _services_in_force(self) -> frozenset[str]:
         """Return the services of the configuration in force."""
         state = self._node.config.state
         await self._node.routes_splitter.split(state)
--- a/limpetroute/control/commands.py
+++ b/limpetroute/control/commands.py
@@ -157,8 +157,8 @@
 )
 
 _TYPES: dict[str, type[Command]] = {
-    one.__name__: one
-    for one in (
+    kind.__name__: kind
+    for kind in (
         SubmitManifest,
         SubmitRoutes,
         NoteRunner,
--- a/limpetroute/control/control_client.py
+++ b/limpetroute/control/control_client.py
@@ -94,35 +94,37 @@
         sent = False
         reason = 'no control host answered'
         while True:
-            left_s = until_s - loop.time()
-            if left_s < MIN_ATTEMPT_S:
+            remaining_s = until_s - loop.time()
+            if remaining_s < MIN_ATTEMPT_S:
                 break
             url = self._next_url
             got = await self._http.call(
                 method='POST',
                 url=url + path,
                 body=body,
-                timeout_s=min(left_s, self._attempt_timeout_s + server_wait_s),
+                timeout_s=min(
+                    remaining_s, self._attempt_timeout_s + server_wait_s
+                ),
             )
             if isinstance(got, call_failed.CallFailed):
                 sent = sent or got.sent
                 self._rotate(url)
-                await asyncio.sleep(min(RETRY_PAUSE_S, left_s / 10))
+                await asyncio.sleep(min(RETRY_PAUSE_S, remaining_s / 10))
                 continue
-            answer = _body(got.body, got.json)
-            outcome = answer.get('outcome')
+            reply = _body(got.body, got.json)
+            outcome = reply.get('outcome')
             if outcome == 'not_leader':
-                self._next_url = str(answer['leader_url']).rstrip('/')
+                self._next_url = str(reply['leader_url']).rstrip('/')
                 # The leader that the host names may already be gone.
                 await asyncio.sleep(RETRY_PAUSE_S / 10)
                 continue
             if outcome in ('not_run', 'unknown'):
                 sent = sent or outcome == 'unknown'
-                reason = str(answer.get('reason', ''))
+                reason = str(reply.get('reason', ''))
                 self._rotate(url)
-                await asyncio.sleep(min(RETRY_PAUSE_S, left_s / 10))
+                await asyncio.sleep(min(RETRY_PAUSE_S, remaining_s / 10))
                 continue
-            return Answered(status=got.status, body=answer)
+            return Answered(status=got.status, body=reply)
         if sent:
             return Unknown(reason=reason)
         return NotRun(reason=reason)
@@ -143,9 +145,9 @@
     data: bytes, decode: typing.Callable[[], typing.Any]
 ) -> dict[str, typing.Any]:
     try:
-        answer = decode()
+        reply = decode()
     except ValueError:
-        answer = None
-    if isinstance(answer, dict):
-        return answer
+        reply = None
+    if isinstance(reply, dict):
+        return reply
     return {'outcome': 'unknown', 'reason': f'not an answer: {data[:60]!r}'}
--- a/limpetroute/control/control_state.py
+++ b/limpetroute/control/control_state.py
@@ -170,8 +170,10 @@
                     runner_id=runner_id, started_ms=started_ms
                 ),
                 [
-                    quarantine.Suspect(fingerprint=one, answer_begun=begun)
-                    for one, begun in suspects.items()
+                    quarantine.Suspect(
+                        fingerprint=fingerprint, answer_begun=begun
+                    )
+                    for fingerprint, begun in suspects.items()
                 ],
             )
         if self.quarantine.requests != before:
--- a/limpetroute/control/http_claim_store.py
+++ b/limpetroute/control/http_claim_store.py
@@ -45,7 +45,7 @@
         """Claim a call before any part of it is sent."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + timeout_s
-        if not await self._withdrawn(team, key, timeout_s):
+        if not await self._await_withdrawal(team, key, timeout_s):
             return claim_store.ClaimNotMade(
                 reason='an earlier claim is being withdrawn'
             )
@@ -70,7 +70,7 @@
         if isinstance(got, control_client.Unknown):
             self._withdraw(team, key, token)
             return claim_store.ClaimNotMade(reason=got.reason)
-        return self._verdict(got, team, key, token)
+        return self._claim_result(got, team, key, token)
 
     async def settle(
         self,
@@ -96,7 +96,7 @@
         for task in self._withdrawals.values():
             task.cancel()
 
-    def _verdict(
+    def _claim_result(
         self, got: control_client.Answered, team: str, key: str, token: str
     ) -> claim_store.ClaimResult:
         outcome = got.body.get('outcome')
@@ -111,7 +111,9 @@
         reason = '; '.join(got.body.get('errors', [])) or str(outcome)
         return claim_store.ClaimNotMade(reason=reason)
 
-    async def _withdrawn(self, team: str, key: str, timeout_s: float) -> bool:
+    async def _await_withdrawal(
+        self, team: str, key: str, timeout_s: float
+    ) -> bool:
         task = self._withdrawals.get((team, key))
         if task is None:
             return True
@@ -128,10 +130,10 @@
             # unknown outcome. That is safe, and an operator can settle it.
             LOG.warning('too many claims to withdraw')
             return
-        task = asyncio.create_task(self._try_withdraw(team, key, token))
+        task = asyncio.create_task(self._retry_withdrawal(team, key, token))
         self._withdrawals[team, key] = task
 
-    async def _try_withdraw(self, team: str, key: str, token: str) -> None:
+    async def _retry_withdrawal(self, team: str, key: str, token: str) -> None:
         body = {'team': team, 'key': key, 'token': token}
         while True:
             got = await self._client.post(
--- a/limpetroute/control/journal_writer.py
+++ b/limpetroute/control/journal_writer.py
@@ -71,7 +71,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await self._wake.wait()
-            batch = self._take()
+            batch = self._next_batch()
             try:
                 await loop.run_in_executor(
                     self._thread, self._journal.write, batch
@@ -84,7 +84,7 @@
             for item in batch:
                 self._on_synced(item.group, item.write_id)
 
-    def _take(self) -> list[journal_module.GroupWrites]:
+    def _next_batch(self) -> list[journal_module.GroupWrites]:
         count = self._max_batch or len(self._waiting)
         batch = self._waiting[:count]
         del self._waiting[:count]
--- a/limpetroute/control/manifest_handler.py
+++ b/limpetroute/control/manifest_handler.py
@@ -33,11 +33,11 @@
             return
         if isinstance(result, manifest_store.Conflict):
             self.set_status(409)
-            self.show('conflict', result)
+            self.reply('conflict', result)
             return
         if isinstance(result, manifest_store.Stale):
             self.set_status(409)
-            self.show('stale', result)
+            self.reply('stale', result)
             return
         assert isinstance(result, manifest_store.Accepted)
         behind = await self._wait_for_hosts(
@@ -71,7 +71,7 @@
                 host_id, int(self._number('number', 0)), self.node.now_s
             )
         await self._wait_for_newer(after, wait_s)
-        if self.get_query_argument('sure', '') and not self._is_sure():
+        if self.get_query_argument('sure', '') and not self._is_up_to_date():
             return
         group = self.node.config
         newest = group.state.newest
@@ -84,7 +84,7 @@
             f'"manifest":{text}}}'
         )
 
-    def _is_sure(self) -> bool:
+    def _is_up_to_date(self) -> bool:
         """Return whether this host's state is up to date.
 
         If not, replies with the leader's URL.
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -115,7 +115,9 @@
         self._journal_writer = self._make_journal_writer()
         self.groups: list[group_module.Group] = []
         self._started_s = 0.0
-        self._turnover = membership_reconciler.MembershipReconciler()
+        self._membership_reconciler = (
+            membership_reconciler.MembershipReconciler()
+        )
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(host_id={self.settings.host_id!r})'
@@ -161,9 +163,9 @@
         """Addresses of control hosts seen recently, including this one."""
         now_s = self.now_s
         seen = [
-            one.url
-            for one in self._seen_hosts.values()
-            if now_s - one.last_seen_s <= SEEN_HOST_TTL_S
+            seen_host.url
+            for seen_host in self._seen_hosts.values()
+            if now_s - seen_host.last_seen_s <= SEEN_HOST_TTL_S
         ]
         return [self.url, *seen]
 
@@ -449,7 +451,7 @@
         hosts = [seeds_module.host_of(seed) for seed in self.settings.seeds]
         if hosts:
             members = self.config.replica.membership.members
-            hosts.extend(one.host_id for one in members)
+            hosts.extend(member.host_id for member in members)
         for host in hosts:
             url = self._seed_url(host)
             if url != self.url and url not in self._links:
@@ -467,7 +469,7 @@
         for host_id, seen in self._seen_hosts.items():
             if now_s - seen.last_seen_s <= SEEN_HOST_TTL_S:
                 present[host_id] = seen.replica_id
-        change = self._turnover.next_change(
+        change = self._membership_reconciler.next_change(
             replica=group.replica,
             present=present,
             wanted_voters=self._wanted_voters(),
--- a/limpetroute/control/quarantine_handlers.py
+++ b/limpetroute/control/quarantine_handlers.py
@@ -21,8 +21,8 @@
             return
         command = commands.NoteCrashes(
             crashes=[
-                [one.runner_id, one.started_ms, one.suspects]
-                for one in body.crashes
+                [crash.runner_id, crash.started_ms, crash.suspects]
+                for crash in body.crashes
             ]
         )
         before = set(self.node.config.state.quarantine.requests)
@@ -33,12 +33,12 @@
         LOG.info(
             'crashes noted',
             extra={
-                'runners': [one.runner_id for one in body.crashes],
-                'requests': sum(len(one.suspects) for one in body.crashes),
-                'quarantined': [one for one in after if one not in before],
+                'runners': [crash.runner_id for crash in body.crashes],
+                'requests': sum(len(crash.suspects) for crash in body.crashes),
+                'quarantined': [name for name in after if name not in before],
             },
         )
-        self.show('noted', result)
+        self.reply('noted', result)
 
 
 class ClearHandler(base_handler.BaseHandler):
@@ -54,7 +54,7 @@
         if result is None:
             return
         LOG.info('request cleared', extra={'fingerprint': body.fingerprint})
-        self.show('cleared', result)
+        self.reply('cleared', result)
 
 
 class TrialHandler(base_handler.BaseHandler):
--- a/limpetroute/control/recent_routes.py
+++ b/limpetroute/control/recent_routes.py
@@ -95,7 +95,7 @@
         self._texts.pop(routes.digest, None)
         self._copies.pop(routes.digest, None)
         self._texts[routes.digest] = routes
-        chars = sum(len(one.text) for one in self._texts.values())
+        chars = sum(len(stored.text) for stored in self._texts.values())
         while len(self._texts) > 1 and (
             len(self._texts) > MAX_VERSIONS or chars > MAX_BYTES
         ):
--- a/limpetroute/control/replacements.py
+++ b/limpetroute/control/replacements.py
@@ -34,7 +34,7 @@
 
     def all(self) -> dict[str, str]:
         """Return the successor of each replaced host."""
-        return {old: one.new_host for old, one in self._orders.items()}
+        return {old: order.new_host for old, order in self._orders.items()}
 
     def note(self, old_host: str, new_host: str, since_s: float) -> None:
         """Record an order, unless a later one contradicts it.
@@ -55,17 +55,17 @@
 
     def expire(self, now_s: float) -> None:
         """Remove orders older than `REPLACEMENT_TTL_S`."""
-        for old_host, one in list(self._orders.items()):
-            if now_s - one.since_s > REPLACEMENT_TTL_S:
+        for old_host, order in list(self._orders.items()):
+            if now_s - order.since_s > REPLACEMENT_TTL_S:
                 del self._orders[old_host]
 
     def bodies(self, now_s: float) -> dict[str, peer_batch.ReplacementBody]:
         """Return the orders, with their ages, to send to a peer."""
         return {
             old: peer_batch.ReplacementBody(
-                new_host=one.new_host, age_s=max(0.0, now_s - one.since_s)
+                new_host=order.new_host, age_s=max(0.0, now_s - order.since_s)
             )
-            for old, one in self._orders.items()
+            for old, order in self._orders.items()
         }
 
     def receive(
--- a/limpetroute/control/runner_table.py
+++ b/limpetroute/control/runner_table.py
@@ -55,7 +55,7 @@
         return None
 
     def next_after(
-        self, index: int, most: int
+        self, index: int, limit: int
     ) -> tuple[list[runner_row.RunnerRow], int]:
         """Return the first rows that changed after a log index.
 
@@ -69,11 +69,11 @@
             rows.extend(self._gone.values())
         rows = [row for row in rows if row.changed_index > index]
         rows.sort(key=_changed_index)
-        if len(rows) <= most:
+        if len(rows) <= limit:
             return rows, self.changed_index
         # Two rows change at the same index if one runner takes over the
         # other's address. Rows of one index are returned together.
-        last = rows[most - 1].changed_index
+        last = rows[limit - 1].changed_index
         rows = [row for row in rows if row.changed_index <= last]
         return rows, last
 
@@ -181,7 +181,9 @@
 
     def load(self, rows: list[list[typing.Any]]) -> None:
         """Load the result of `dump` into an empty table."""
-        names = [one.name for one in dataclasses.fields(runner_row.RunnerRow)]
+        names = [
+            field.name for field in dataclasses.fields(runner_row.RunnerRow)
+        ]
         for values in rows:
             # Snapshots of an earlier release lack the last field.
             row = runner_row.RunnerRow(
--- a/limpetroute/control/write_codec.py
+++ b/limpetroute/control/write_codec.py
@@ -50,10 +50,12 @@
 ) -> bytes:
     """Return the bytes of entries."""
     parts = [_OP.pack(_ENTRIES_OP, group), _COUNT.pack(len(entries))]
-    for one in entries:
-        kind = _KINDS.index(one.kind)
-        parts.append(_ENTRY.pack(one.index, one.term, kind, len(one.data)))
-        parts.append(one.data)
+    for entry in entries:
+        kind = _KINDS.index(entry.kind)
+        parts.append(
+            _ENTRY.pack(entry.index, entry.term, kind, len(entry.data))
+        )
+        parts.append(entry.data)
     return b''.join(parts)
 
 
--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -213,7 +213,7 @@
             await asyncio.sleep(PASS_PERIOD_S)
             if not self.leads:
                 self._led_term = 0
-                self._give_up_pending()
+                self._resolve_pending()
                 continue
             await self._node.routes_splitter.split(self._node.config.state)
             self._note_term()
@@ -222,7 +222,7 @@
                     self._request_pass(service)
             self._reconcile_stages()
 
-    def _give_up_pending(self) -> None:
+    def _resolve_pending(self) -> None:
         """Resolve all waiting requests with None after losing the lease.
 
         The entry hosts then look for the next leader. Without this, the
