--- a/limpetroute/control/group.py
+++ b/limpetroute/control/group.py
@@ -120,33 +120,33 @@
     def feed(self, event: events.Event) -> effects_module.Effects:
         """Pass an event to the replica and carry out the effects."""
         replica = self.replica
-        got = replica.step(event, self.now_s)
-        if got.write_id is not None:
+        effects = replica.step(event, self.now_s)
+        if effects.write_id is not None:
             self._write(
                 journal_module.GroupWrites(
                     group=self.number,
-                    write_id=got.write_id,
-                    writes=got.writes,
+                    write_id=effects.write_id,
+                    writes=effects.writes,
                 )
             )
-        for envelope in got.sends:
+        for envelope in effects.sends:
             self._send(self.number, envelope)
-        if got.restored is not None:
-            self._restore(got.restored)
-        if got.committed:
-            self._apply(got.committed)
+        if effects.restored is not None:
+            self._restore(effects.restored)
+        if effects.committed:
+            self._apply(effects.committed)
         if replica.role is not self._role:
             self._note_role()
         if replica.leader_id != self._leader_id:
             self._leader_id = replica.leader_id
             self._wake()
-        return got
+        return effects
 
     def _propose(self) -> None:
         proposals, self._proposals = self._proposals, []
         data = tuple(item[0] for item in proposals)
-        got = self.feed(events.Propose(commands=data))
-        proposal = got.proposal
+        effects = self.feed(events.Propose(commands=data))
+        proposal = effects.proposal
         if not isinstance(proposal, effects_module.Appended):
             reason = proposal.reason if proposal else 'not taken'
             verdict = verdicts.NotRun(
@@ -194,9 +194,9 @@
         time, because all hold the same log.
         """
         replica = self.replica
-        entries = replica.applied_index - replica.log.base_index
+        entry_count = replica.applied_index - replica.log.base_index
         if (
-            entries < self._compact_after
+            entry_count < self._compact_after
             and self._entry_bytes < COMPACT_AFTER_BYTES
         ):
             return
--- a/limpetroute/control/node.py
+++ b/limpetroute/control/node.py
@@ -37,6 +37,7 @@
 LOG = logging.getLogger(__name__)
 
 CONFIG_GROUP = 0
+# Heartbeat periods between two hello batches to a peer.
 HELLO_HEARTBEATS = 4
 SEEN_HOST_TTL_S = 3.0
 HOST_LIVE_S = 10.0
--- a/limpetroute/control/peer_link.py
+++ b/limpetroute/control/peer_link.py
@@ -1,4 +1,4 @@
-"""The connection that sends messages to one other control host."""
+"""Sends messages to one other control host."""
 
 import asyncio
 import logging
@@ -22,7 +22,7 @@
 
 
 class PeerLink:
-    """The connection that sends messages to one other control host.
+    """Sends messages to one other control host.
 
     Each batch is sent on its own connection with a deadline. If a
     connection is dropped silently between the hosts, this costs one
--- a/limpetroute/control/runner_table.py
+++ b/limpetroute/control/runner_table.py
@@ -109,7 +109,7 @@
     def note(self, command: commands.NoteRunner, index: int) -> None:
         """Apply an announcement.
 
-        A new runner takes over its address. Two processes cannot share one,
+        A new runner takes over its address. Processes cannot share an address,
         so the runner that was registered there has crashed.
         """
         if not self.is_update(command):
--- a/limpetroute/control/watch_handler.py
+++ b/limpetroute/control/watch_handler.py
@@ -29,7 +29,7 @@
         host_id = self.get_query_argument('host', '')
         if host_id:
             self.node.reports.note(host_id, version, self.node.now_s)
-        await self._wait_beyond(
+        await self._wait_for_change(
             after,
             version,
             self.get_query_argument('leader', ''),
@@ -48,7 +48,7 @@
             index = max(index, state.routes_index, state.quarantine_index)
         body: dict[str, object] = {
             'index': index,
-            'in_touch': self._is_in_touch(),
+            'in_touch': self._is_up_to_date(),
             'routes': self._notice(version),
             'runners': [dataclasses.asdict(row) for row in rows],
             'urls': self.node.urls,
@@ -85,7 +85,7 @@
         reports = self.node.reports
         return len(reports.all()) - len(reports.unresponsive(self.node.now_s))
 
-    def _is_in_touch(self) -> bool:
+    def _is_up_to_date(self) -> bool:
         """Return whether this host follows a leader and is up to date.
 
         A host that has just started is in contact with the leader before it
@@ -99,7 +99,7 @@
     def _leader_url(self) -> str:
         return self.node.url_of(self.node.config.leader_host)
 
-    async def _wait_beyond(
+    async def _wait_for_change(
         self, after: int, version: int, leader_url: str, wait_s: float
     ) -> None:
         """Wait for a change, or for another leader than ``leader_url``."""
--- a/tests/control/test_recent_routes.py
+++ b/tests/control/test_recent_routes.py
@@ -19,7 +19,7 @@
     return in_force
 
 
-def whole(update):
+def assembled(update):
     """Return an update assembled from its slices."""
     text = ''
     while True:
@@ -52,13 +52,13 @@
     update = recent.update('unknown', after.digest)
     assert not update.base
     assert not update.inline
-    assert routes_copy.RoutesCopy().apply(whole(update)) == recent.get(
+    assert routes_copy.RoutesCopy().apply(assembled(update)) == recent.get(
         after.digest
     )
 
 
 def test_slices_are_small_on_the_wire():
-    """Each slice must take only some 10 ms on a link of 5 Mbit/s."""
+    """Each slice must take a few hundredths of a second at 5 Mbit/s."""
     recent = recent_routes.RecentRoutes()
     after = note(recent, 2, 10_000)
     update = recent.update('', after.digest)
--- a/tests/dispatch/test_stage_orders.py
+++ b/tests/dispatch/test_stage_orders.py
@@ -226,7 +226,7 @@
         for tick in range(400):
             now_s = tick * 0.05
             runners = [*others, prefill if now_s < 10.0 else left]
-            # Every second one of the old runners is removed.
+            # One old runner is removed each second.
             runners += [
                 builders.make_runner(one.runner_id, decode, ready=False)
                 for n, one in enumerate(old)
