--- a/limpetroute/dispatch/dispatcher.py
+++ b/limpetroute/dispatch/dispatcher.py
@@ -179,7 +179,7 @@
 
         Parameters
         ----------
-        report : Report
+        report : LimitReport
             The limit that the runner announced to the entry host.
         has_request : bool
             Whether the host has a request to send.
