--- a/tests/dispatch/test_leader_keeps_its_term.py
+++ b/tests/dispatch/test_leader_keeps_its_term.py
@@ -21,7 +21,7 @@
 
     def __init__(self, runners):
         self.cluster = cluster_module.Cluster(5, 7)
-        self.leader = self.cluster.calm()
+        self.leader = self.cluster.end_faults()
         self.term = self.leader.replica.term
         self.fleet = full_fleet.FullFleet(runners, 30)
         self.busy_until_s = 0.0
