--- a/limpetroute/control/http_claim_store.py
+++ b/limpetroute/control/http_claim_store.py
@@ -1,4 +1,4 @@
-"""The claim book that asks the control hosts."""
+"""A claim store that calls the control hosts."""
 
 import asyncio
 import logging
@@ -14,11 +14,11 @@
 
 
 class HttpClaimStore:
-    """The claim book that asks the control hosts.
+    """A claim store that calls the control hosts.
 
-    A grant whose answer was lost is withdrawn before its key may be
-    claimed here again: the caller was told ``not_run``, and must not
-    find its own dead claim for ever.
+    If the response to a claim is lost, the claim is withdrawn before its
+    key can be claimed here again. The caller got ``not_run``, and without
+    the withdrawal each retry would find its own unused claim.
 
     Parameters
     ----------
@@ -42,10 +42,10 @@
         holder: str,
         timeout_s: float,
     ) -> claim_store.ClaimResult:
-        """Claim a call before anything of it is sent."""
+        """Claim a call before any part of it is sent."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + timeout_s
-        if not await self._withdrawn(team, key, timeout_s):
+        if not await self._await_withdrawal(team, key, timeout_s):
             return claim_store.ClaimNotMade(
                 reason='an earlier claim is being withdrawn'
             )
@@ -70,7 +70,7 @@
         if isinstance(got, control_client.Unknown):
             self._withdraw(team, key, token)
             return claim_store.ClaimNotMade(reason=got.reason)
-        return self._verdict(got, team, key, token)
+        return self._claim_result(got, team, key, token)
 
     async def settle(
         self,
@@ -81,7 +81,7 @@
         body: str,
         timeout_s: float,
     ) -> bool:
-        """Write the outcome; return whether a quorum has it."""
+        """Write the call's response; return whether it was committed."""
         got = await self._client.post(
             path='/v1/claims/settle',
             body={'team': team, 'key': key, 'status': status, 'body': body},
@@ -92,11 +92,11 @@
         return got.status == 200 and bool(got.body.get('known'))
 
     async def close(self) -> None:
-        """Give up withdrawals in progress."""
+        """Cancel withdrawals in progress."""
         for task in self._withdrawals.values():
             task.cancel()
 
-    def _verdict(
+    def _claim_result(
         self, got: control_client.Answered, team: str, key: str, token: str
     ) -> claim_store.ClaimResult:
         outcome = got.body.get('outcome')
@@ -111,7 +111,9 @@
         reason = '; '.join(got.body.get('errors', [])) or str(outcome)
         return claim_store.ClaimNotMade(reason=reason)
 
-    async def _withdrawn(self, team: str, key: str, timeout_s: float) -> bool:
+    async def _await_withdrawal(
+        self, team: str, key: str, timeout_s: float
+    ) -> bool:
         task = self._withdrawals.get((team, key))
         if task is None:
             return True
@@ -124,14 +126,14 @@
 
     def _withdraw(self, team: str, key: str, token: str) -> None:
         if len(self._withdrawals) >= MAX_WITHDRAWALS:
-            # The claim stays, and its key is answered as unknown: safe,
-            # and an operator can settle it.
+            # The claim stays in the log, and calls with its key get an
+            # unknown outcome. That is safe, and an operator can settle it.
             LOG.warning('too many claims to withdraw')
             return
-        task = asyncio.create_task(self._try_withdraw(team, key, token))
+        task = asyncio.create_task(self._retry_withdrawal(team, key, token))
         self._withdrawals[team, key] = task
 
-    async def _try_withdraw(self, team: str, key: str, token: str) -> None:
+    async def _retry_withdrawal(self, team: str, key: str, token: str) -> None:
         body = {'team': team, 'key': key, 'token': token}
         while True:
             got = await self._client.post(
--- a/limpetroute/control/quarantine_handlers.py
+++ b/limpetroute/control/quarantine_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers for requests under which runners crash."""
+"""Handlers for requests that crash runners."""
 
 import logging
 
@@ -15,14 +15,14 @@
     """``POST /v1/crashes``."""
 
     async def post(self) -> None:
-        """Take note of crashes and of the requests that were there."""
+        """Record crashes and the requests that the runners were running."""
         body = self.parse(crash_bodies.CrashesBody)
         if body is None:
             return
         command = commands.NoteCrashes(
             crashes=[
-                [one.runner_id, one.started_ms, one.suspects]
-                for one in body.crashes
+                [crash.runner_id, crash.started_ms, crash.suspects]
+                for crash in body.crashes
             ]
         )
         before = set(self.node.config.state.quarantine.requests)
@@ -33,19 +33,19 @@
         LOG.info(
             'crashes noted',
             extra={
-                'runners': [one.runner_id for one in body.crashes],
-                'requests': sum(len(one.suspects) for one in body.crashes),
-                'quarantined': [one for one in after if one not in before],
+                'runners': [crash.runner_id for crash in body.crashes],
+                'requests': sum(len(crash.suspects) for crash in body.crashes),
+                'quarantined': [name for name in after if name not in before],
             },
         )
-        self.show('noted', result)
+        self.reply('noted', result)
 
 
 class ClearHandler(base_handler.BaseHandler):
     """``POST /v1/quarantine/clear``."""
 
     async def post(self) -> None:
-        """Take a request for harmless."""
+        """Release a quarantined request as harmless."""
         body = self.parse(crash_bodies.RequestBody)
         if body is None:
             return
@@ -54,14 +54,14 @@
         if result is None:
             return
         LOG.info('request cleared', extra={'fingerprint': body.fingerprint})
-        self.show('cleared', result)
+        self.reply('cleared', result)
 
 
 class TrialHandler(base_handler.BaseHandler):
     """``POST /v1/quarantine/trial``."""
 
     async def post(self) -> None:
-        """Let one host send a quarantined request once, if it is time."""
+        """Allow one host to send a quarantined request once, if it is due."""
         body = self.parse(crash_bodies.RequestBody)
         if body is None:
             return
@@ -90,7 +90,7 @@
         outcome = quarantine.Trial.RELEASED.value
         if isinstance(result, results.TrialDecided):
             outcome = result.trial
-        # The next delay runs from this trial on.
+        # The delay before the next trial starts with this one.
         wait_s = node.trial_times.wait_s(
             fingerprint, known.trial_count(fingerprint), node.now_s
         )
@@ -100,7 +100,7 @@
         self, fingerprint: str, outcome: str, trials: int, wait_s: float
     ) -> None:
         LOG.info(
-            'trial asked for',
+            'trial requested',
             extra={
                 'fingerprint': fingerprint,
                 'outcome': outcome,
--- a/limpetroute/control/write_codec.py
+++ b/limpetroute/control/write_codec.py
@@ -1,4 +1,4 @@
-"""Turns writes of replicas into bytes and back."""
+"""Encodes the writes of replicas as bytes and decodes them."""
 
 import struct
 import typing
@@ -23,16 +23,19 @@
 
 
 def encode(group: int, write: effects.Write) -> bytes:
-    """Return a write's bytes; of a snapshot, only its place."""
+    """Return a write's bytes; for a snapshot, only its index and term."""
     match write:
         case effects.SaveVote():
             return encode_vote(group, write.term, write.voted_for)
         case effects.SaveEntries():
             return encode_entries(group, write.entries)
         case effects.SaveSnapshot():
-            at = write.snapshot
+            snapshot = write.snapshot
             return encode_base(
-                group, at.last_index, at.last_term, write.keeps_log
+                group,
+                snapshot.last_index,
+                snapshot.last_term,
+                write.keeps_log,
             )
 
 
@@ -47,15 +50,17 @@
 ) -> bytes:
     """Return the bytes of entries."""
     parts = [_OP.pack(_ENTRIES_OP, group), _COUNT.pack(len(entries))]
-    for one in entries:
-        kind = _KINDS.index(one.kind)
-        parts.append(_ENTRY.pack(one.index, one.term, kind, len(one.data)))
-        parts.append(one.data)
+    for entry in entries:
+        kind = _KINDS.index(entry.kind)
+        parts.append(
+            _ENTRY.pack(entry.index, entry.term, kind, len(entry.data))
+        )
+        parts.append(entry.data)
     return b''.join(parts)
 
 
 def encode_base(group: int, index: int, term: int, keeps_log: bool) -> bytes:
-    """Return the bytes of a snapshot's place."""
+    """Return the bytes of a snapshot's index and term."""
     return _OP.pack(_BASE_OP, group) + _BASE.pack(index, term, keeps_log)
 
 
@@ -67,7 +72,7 @@
     Raises
     ------
     ValueError
-        If the payload is not one that `encode` made.
+        If the payload is not a result of `encode`.
     """
     offset = 0
     try:
