--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -31,7 +31,7 @@
 from limpetroute.entry.runs import run_freer
 from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import run_task
-from limpetroute.entry.runs import run_tools
+from limpetroute.entry.runs import run_context
 from limpetroute.entry.runs import scheduler as scheduler_module
 from limpetroute.entry.services import control_claims
 from limpetroute.entry.services import service_desk
@@ -290,13 +290,13 @@
             request=request,
             item=self._work(request, live.arrived_s),
             live=live,
-            tools=self._run_tools(),
+            context=self._run_context(),
             tries=tries,
         )
 
-    def _run_tools(self) -> run_tools.RunTools:
+    def _run_context(self) -> run_context.RunContext:
         peers = self.peers
-        return run_tools.RunTools(
+        return run_context.RunContext(
             scheduler=self.scheduler,
             engines=self.engines,
             grants=self.grants,
@@ -332,7 +332,7 @@
         task = adopted_run.AdoptedRun(
             request=request,
             live=live,
-            tools=self._run_tools(),
+            context=self._run_context(),
             runner=copied.progress.runner,
             go_on=functools.partial(self._run_task, request, live),
         )
--- a/limpetroute/entry/records/adopted_run.py
+++ b/limpetroute/entry/records/adopted_run.py
@@ -8,7 +8,7 @@
 from limpetroute.entry.runs import answer_reader
 from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import run_task
-from limpetroute.entry.runs import run_tools
+from limpetroute.entry.runs import run_context
 from limpetroute.peers import run_end
 from limpetroute.runners import engine_call
 from limpetroute.runners import engine_client
@@ -31,7 +31,7 @@
         What the caller asked for.
     live : LiveRecord
         The record, with the events that were copied.
-    tools : RunTools
+    context : RunContext
         What the run works with.
     runner : mapping
         The try in progress when the owner was lost.
@@ -39,20 +39,20 @@
         Makes the task that continues after that many tries.
     """
 
-    __slots__ = ('_go_on', '_live', '_request', '_runner', '_tools')
+    __slots__ = ('_go_on', '_live', '_request', '_runner', '_context')
 
     def __init__(
         self,
         *,
         request: run_request.RunRequest,
         live: live_record.LiveRecord,
-        tools: run_tools.RunTools,
+        context: run_context.RunContext,
         runner: typing.Mapping[str, typing.Any],
         go_on: Continue,
     ) -> None:
         self._request = request
         self._live = live
-        self._tools = tools
+        self._context = context
         self._runner = runner
         self._go_on = go_on
 
@@ -70,7 +70,7 @@
         engine = None
         runner_id = self._runner.get('runner_id')
         if runner_id is not None:
-            engine = self._tools.engines.get(runner_id)
+            engine = self._context.engines.get(runner_id)
         try:
             if engine is not None and await self._resume(engine):
                 return
@@ -87,15 +87,15 @@
         self._live.attempt_run_id = str(self._runner['run_id'])
         self._live.attempt_base = base
         self._live.runner_id = str(self._runner['runner_id'])
-        if self._tools.copy is not None:
-            await self._tools.copy(self._live)
+        if self._context.copy is not None:
+            await self._context.copy(self._live)
         known = len(record.events) - base
         reader = answer_reader.AnswerReader(append=self._append, first=known)
         got = await reader.read(
             engine.resume(
                 str(self._runner['run_id']),
                 after_index=known - 1,
-                token_timeout_s=self._tools.settings.token_timeout_s,
+                token_timeout_s=self._context.settings.token_timeout_s,
             )
         )
         if isinstance(got, engine_call.EndEvent):
@@ -109,7 +109,7 @@
 
     def _append(self, text: str) -> None:
         if len(self._live.record.events) < self._request.max_tokens:
-            self._live.append(text, self._tools.scheduler.now_s)
+            self._live.append(text, self._context.scheduler.now_s)
 
     def _complete(self, finish_reason: str) -> None:
         self._live.finish(
@@ -134,7 +134,7 @@
         )
 
     def _free(self, engine: engine_client.EngineClient) -> None:
-        self._tools.freer.free(
+        self._context.freer.free(
             run_id=str(self._runner['run_id']),
             engine=engine,
             on_end=_ignore,
--- a/limpetroute/entry/runs/decode_stream.py
+++ b/limpetroute/entry/runs/decode_stream.py
@@ -4,7 +4,7 @@
 
 from limpetroute.entry.records import live_record
 from limpetroute.entry.runs import answer_reader
-from limpetroute.entry.runs import run_tools
+from limpetroute.entry.runs import run_context
 from limpetroute.runners import engine_call
 from limpetroute.runners import engine_client
 from limpetroute.runners import engine_failure
@@ -29,11 +29,11 @@
         Where the events go.
     max_events : int
         Most events of the whole answer.
-    tools : RunTools
+    context : RunContext
         Time limits, counts and the router.
     """
 
-    __slots__ = ('_call', '_engine', '_live', '_max_events', '_tools')
+    __slots__ = ('_call', '_engine', '_live', '_max_events', '_context')
 
     def __init__(
         self,
@@ -42,13 +42,13 @@
         engine: engine_client.EngineClient,
         live: live_record.LiveRecord,
         max_events: int,
-        tools: run_tools.RunTools,
+        context: run_context.RunContext,
     ) -> None:
         self._call = call
         self._engine = engine
         self._live = live
         self._max_events = max_events
-        self._tools = tools
+        self._context = context
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(run_id={self._call.run_id!r})'
@@ -64,14 +64,14 @@
             if tries == MAX_RESUMES:
                 break
             before = reader.last_index
-            self._tools.meters.retried('resume')
+            self._context.meters.retried('resume')
             await asyncio.sleep(RESUME_PAUSE_S)
             got = await reader.read(self._events(before))
             tries = 0 if reader.last_index > before else tries + 1
         return got
 
     def _events(self, last_index: int) -> answer_reader.Events:
-        timeout_s = self._tools.settings.token_timeout_s
+        timeout_s = self._context.settings.token_timeout_s
         if last_index < 0:
             # The order itself may have been lost; a second one for the
             # same run id starts nothing twice.
@@ -85,5 +85,5 @@
     def _append(self, text: str) -> None:
         if len(self._live.record.events) >= self._max_events:
             return
-        self._live.append(text, self._tools.scheduler.now_s)
-        self._tools.scheduler.tokens(self._live.record.request_id, 1)
+        self._live.append(text, self._context.scheduler.now_s)
+        self._context.scheduler.tokens(self._live.record.request_id, 1)
--- a/limpetroute/entry/runs/run_tools.py
+++ b/limpetroute/entry/runs/run_context.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class RunTools:
+class RunContext:
     """The shared parts of the process that a run uses.
 
     Parameters
--- a/limpetroute/entry/runs/run_holdings.py
+++ b/limpetroute/entry/runs/run_holdings.py
@@ -6,7 +6,7 @@
 from limpetroute.entry.peering import grants as grants_module
 from limpetroute.entry.records import live_record
 from limpetroute.entry.runs import attempt as attempt_module
-from limpetroute.entry.runs import run_tools
+from limpetroute.entry.runs import run_context
 from limpetroute.runners import engine_client
 
 
@@ -17,17 +17,17 @@
     ----------
     live : LiveRecord
         The request's record.
-    tools : RunTools
+    context : RunContext
         What frees.
     """
 
-    __slots__ = ('_live', '_tools', 'attempt')
+    __slots__ = ('_live', '_context', 'attempt')
 
     def __init__(
-        self, *, live: live_record.LiveRecord, tools: run_tools.RunTools
+        self, *, live: live_record.LiveRecord, context: run_context.RunContext
     ) -> None:
         self._live = live
-        self._tools = tools
+        self._context = context
         self.attempt: attempt_module.Attempt | None = None
 
     def __repr__(self) -> str:
@@ -66,7 +66,7 @@
         assert attempt is not None
         if runner_id in attempt.fences:
             return None
-        got = await self._tools.grants.acquire(
+        got = await self._context.grants.acquire(
             runner_id=runner_id, work_id=attempt.run_id, kv_bytes=kv_bytes
         )
         if isinstance(got, grants_module.Denied):
@@ -113,7 +113,7 @@
     ) -> None:
         # Room is given back only once the runner holds nothing: given
         # back before, the slot would be granted twice.
-        self._tools.freer.free(
+        self._context.freer.free(
             run_id=attempt.run_id,
             engine=engine,
             on_end=functools.partial(
@@ -135,10 +135,10 @@
     ) -> None:
         self._release(runner_id, run_id)
         if gone_s is not None and confirmed:
-            self._tools.meters.gone_caller_freed(at, time.monotonic() - gone_s)
+            self._context.meters.gone_caller_freed(at, time.monotonic() - gone_s)
 
     def _release(self, runner_id: str, run_id: str) -> None:
-        self._tools.grants.release(runner_id=runner_id, work_id=run_id)
+        self._context.grants.release(runner_id=runner_id, work_id=run_id)
 
     def _count_waste(self, attempt: attempt_module.Attempt) -> None:
         result = attempt.result
@@ -146,6 +146,6 @@
             return
         if len(self._live.record.events) > attempt.base:
             return
-        self._tools.meters.wasted_prefill(
+        self._context.meters.wasted_prefill(
             max(0, result.prompt_tokens - result.cached_tokens)
         )
--- a/limpetroute/entry/runs/run_task.py
+++ b/limpetroute/entry/runs/run_task.py
@@ -14,7 +14,7 @@
 from limpetroute.entry.runs import decode_stream
 from limpetroute.entry.runs import run_holdings
 from limpetroute.entry.runs import run_request
-from limpetroute.entry.runs import run_tools
+from limpetroute.entry.runs import run_context
 from limpetroute.entry.runs import send_guard
 from limpetroute.peers import run_end
 from limpetroute.runners import engine_call
@@ -43,7 +43,7 @@
         The same, as the router sees it.
     live : LiveRecord
         Where the answer goes.
-    tools : RunTools
+    context : RunContext
         What the run works with.
     tries : int
         Tries that another host made before; their names are taken.
@@ -56,7 +56,7 @@
         '_item',
         '_live',
         '_request',
-        '_tools',
+        '_context',
         '_tries',
     )
 
@@ -66,15 +66,15 @@
         request: run_request.RunRequest,
         item: work.Work,
         live: live_record.LiveRecord,
-        tools: run_tools.RunTools,
+        context: run_context.RunContext,
         tries: int = 0,
     ) -> None:
         self._request = request
         self._item = item
         self._live = live
-        self._tools = tools
+        self._context = context
         self._guard = send_guard.SendGuard()
-        self._holdings = run_holdings.RunHoldings(live=live, tools=tools)
+        self._holdings = run_holdings.RunHoldings(live=live, context=context)
         self._handed_on = False
         self._tries = tries
         if tries:
@@ -87,7 +87,7 @@
 
     async def run(self) -> None:
         """Carry the router's actions out until the request is over."""
-        with self._tools.hops.hop(
+        with self._context.hops.hop(
             'entry',
             request_id=self._item.work_id,
             model=self._item.model,
@@ -99,7 +99,7 @@
                 hop.fail(end.finish_reason if end else 'no end')
 
     async def _run(self) -> None:
-        inbox = self._tools.scheduler.offer(self._item)
+        inbox = self._context.scheduler.offer(self._item)
         try:
             await self._work(inbox)
         except asyncio.CancelledError:
@@ -132,7 +132,7 @@
             how = stage.Ending.COMPLETED
         if end is not None and end.kind is run_end.EndKind.CANCELLED:
             how = stage.Ending.CANCELLED
-        self._tools.scheduler.end(self._item.work_id, how)
+        self._context.scheduler.end(self._item.work_id, how)
         if how is stage.Ending.COMPLETED:
             self._holdings.let_go()
             return
@@ -143,7 +143,7 @@
     async def _work(self, inbox: 'asyncio.Queue[action.Action]') -> None:
         """Run one step at a time, and drop it when the router says so."""
         step: asyncio.Task[None] | None = None
-        queue = hops.RepeatedHop(hops=self._tools.hops, name='queue')
+        queue = hops.RepeatedHop(hops=self._context.hops, name='queue')
         queue.begin()
         next_one = asyncio.ensure_future(inbox.get())
         try:
@@ -204,7 +204,7 @@
             return
         self._live.stage = stage.Stage.PREFILL
         attempt = self._new_attempt()
-        engine = self._tools.engines.get(todo.runner_id)
+        engine = self._context.engines.get(todo.runner_id)
         if engine is None:
             self._failed(stage.Stage.PREFILL, todo.runner_id)
             return
@@ -222,9 +222,9 @@
                     prompt=self._request.prompt + self._live.record.text,
                     priority=todo.priority,
                     fence=0,
-                    latest_start_s=self._tools.settings.prefill_timeout_s,
+                    latest_start_s=self._context.settings.prefill_timeout_s,
                 ),
-                timeout_s=self._tools.settings.prefill_timeout_s,
+                timeout_s=self._context.settings.prefill_timeout_s,
             ),
         )
         if not isinstance(got, engine_call.PrefillResult):
@@ -235,12 +235,12 @@
         attempt.source = engine
         attempt.result = got
         self._handed_on = True
-        self._tools.scheduler.prefill_done(
+        self._context.scheduler.prefill_done(
             self._item.work_id, got.cached_tokens
         )
 
     async def _decode(self, todo: action.StartDecode) -> None:
-        engine = self._tools.engines.get(todo.runner_id)
+        engine = self._context.engines.get(todo.runner_id)
         attempt = self._holdings.attempt
         if engine is None or attempt is None:
             self._transfer_failed(todo.runner_id)
@@ -252,7 +252,7 @@
         self._live.stage = stage.Stage.TRANSFER
         if not await self._grant(todo.runner_id, todo.kv_bytes):
             return
-        if not self._tools.grants.may_start(
+        if not self._context.grants.may_start(
             runner_id=todo.runner_id, work_id=attempt.run_id
         ):
             self._transfer_failed(todo.runner_id)
@@ -279,7 +279,7 @@
             self._holdings.free_one(todo.runner_id)
             self._transfer_failed(todo.runner_id)
             return
-        self._tools.scheduler.transfer_done(self._item.work_id)
+        self._context.scheduler.transfer_done(self._item.work_id)
         # The copy goes out beside the transfer. No event may reach the
         # caller before it is there: with this host the answer, and the
         # run that its ids name, would be lost.
@@ -287,14 +287,14 @@
         await self._answer(engine, todo.runner_id, attempt, result)
 
     def _transfer_timeout_s(self, todo: action.StartDecode) -> float:
-        limit_s = self._tools.settings.transfer_timeout_s
+        limit_s = self._context.settings.transfer_timeout_s
         if todo.transfer_timeout_s is None:
             return limit_s
         return min(limit_s, todo.transfer_timeout_s)
 
     async def _copy(self) -> None:
-        if self._tools.copy is not None:
-            await self._tools.copy(self._live)
+        if self._context.copy is not None:
+            await self._context.copy(self._live)
 
     async def _answer(
         self,
@@ -318,7 +318,7 @@
             engine=engine,
             live=self._live,
             max_events=self._request.max_tokens,
-            tools=self._tools,
+            context=self._context,
         )
         self._guard.mark_sending()
         got = await self._in_hop('decode', runner_id, stream.run())
@@ -340,7 +340,7 @@
         call: 'typing.Coroutine[typing.Any, typing.Any, _Result]',
     ) -> _Result:
         """Await a call to a runner inside a span."""
-        with self._tools.hops.hop(name, runner_id=runner_id) as hop:
+        with self._context.hops.hop(name, runner_id=runner_id) as hop:
             got = await call
             if isinstance(got, FAILURES):
                 hop.fail(got.reason)
@@ -351,7 +351,7 @@
 
     def _new_attempt(self) -> attempt_module.Attempt:
         if self._tries:
-            self._tools.meters.retried(str(self._live.stage))
+            self._context.meters.retried(str(self._live.stage))
         self._tries += 1
         record = self._live.record
         return self._holdings.start(
@@ -366,7 +366,7 @@
         if free_slots is None:
             return True
         self._handed_on = True
-        self._tools.scheduler.denied(self._item.work_id, runner_id, free_slots)
+        self._context.scheduler.denied(self._item.work_id, runner_id, free_slots)
         return False
 
     def _send(
@@ -387,13 +387,13 @@
         self._failed(stage.Stage.TRANSFER, runner_id)
         # The router may use the KV cache on another runner at once. If
         # it does not, nobody is going to fetch it: it is freed.
-        if not self._tools.scheduler.has_action(self._item.work_id):
+        if not self._context.scheduler.has_action(self._item.work_id):
             self._holdings.free()
 
     def _failed(self, at: stage.Stage, runner_id: str) -> None:
         self._live.stage = stage.Stage.QUEUED
         self._handed_on = True
-        self._tools.scheduler.failed(self._item.work_id, at, runner_id)
+        self._context.scheduler.failed(self._item.work_id, at, runner_id)
 
     def _give_up(self, todo: action.GiveUp) -> None:
         self._finish(
