--- a/limpetroute/entry/runs/run_holdings.py
+++ b/limpetroute/entry/runs/attempt_resources.py
@@ -10,7 +10,7 @@
 from limpetroute.runners import engine_client
 
 
-class RunHoldings:
+class AttemptResources:
     """Keeps the newest attempt, and frees what the one before held.
 
     Parameters
@@ -74,7 +74,7 @@
         attempt.fences[runner_id] = got.fence
         return None
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Give room back after an end that the runner itself told."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
--- a/limpetroute/entry/runs/run_task.py
+++ b/limpetroute/entry/runs/run_task.py
@@ -12,7 +12,7 @@
 from limpetroute.entry.records import outcome
 from limpetroute.entry.runs import attempt as attempt_module
 from limpetroute.entry.runs import decode_stream
-from limpetroute.entry.runs import run_holdings
+from limpetroute.entry.runs import attempt_resources
 from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import run_context
 from limpetroute.entry.runs import send_guard
@@ -52,7 +52,7 @@
     __slots__ = (
         '_guard',
         '_handed_on',
-        '_holdings',
+        '_resources',
         '_item',
         '_live',
         '_request',
@@ -74,7 +74,7 @@
         self._live = live
         self._context = context
         self._guard = send_guard.SendGuard()
-        self._holdings = run_holdings.RunHoldings(live=live, context=context)
+        self._resources = attempt_resources.AttemptResources(live=live, context=context)
         self._handed_on = False
         self._tries = tries
         if tries:
@@ -134,11 +134,11 @@
             how = stage.Ending.CANCELLED
         self._context.scheduler.end(self._item.work_id, how)
         if how is stage.Ending.COMPLETED:
-            self._holdings.let_go()
+            self._resources.release()
             return
         if self._live.handed_over:
             return
-        self._holdings.free()
+        self._resources.free()
 
     async def _work(self, inbox: 'asyncio.Queue[action.Action]') -> None:
         """Run one step at a time, and drop it when the router says so."""
@@ -229,7 +229,7 @@
         )
         if not isinstance(got, engine_call.PrefillResult):
             self._note(got, todo.runner_id)
-            self._holdings.free()
+            self._resources.free()
             self._failed(stage.Stage.PREFILL, todo.runner_id)
             return
         attempt.source = engine
@@ -241,7 +241,7 @@
 
     async def _decode(self, todo: action.StartDecode) -> None:
         engine = self._context.engines.get(todo.runner_id)
-        attempt = self._holdings.attempt
+        attempt = self._resources.attempt
         if engine is None or attempt is None:
             self._transfer_failed(todo.runner_id)
             return
@@ -276,7 +276,7 @@
         if not isinstance(moved, int):
             LOG.debug('transfer of %s failed: %s', attempt.run_id, moved)
             self._note(moved, todo.runner_id)
-            self._holdings.free_one(todo.runner_id)
+            self._resources.free_one(todo.runner_id)
             self._transfer_failed(todo.runner_id)
             return
         self._context.scheduler.transfer_done(self._item.work_id)
@@ -330,7 +330,7 @@
             self._complete('length', result.prompt_tokens)
             return
         LOG.debug('decode of %s failed: %s', attempt.run_id, got)
-        self._holdings.free()
+        self._resources.free()
         self._failed(stage.Stage.DECODE, runner_id)
 
     async def _in_hop(
@@ -354,7 +354,7 @@
             self._context.meters.retried(str(self._live.stage))
         self._tries += 1
         record = self._live.record
-        return self._holdings.start(
+        return self._resources.start(
             attempt_module.Attempt(
                 run_id=attempt_module.run_id_of(record.run_id, self._tries),
                 base=len(record.events),
@@ -362,7 +362,7 @@
         )
 
     async def _grant(self, runner_id: str, kv_bytes: int) -> bool:
-        free_slots = await self._holdings.acquire(runner_id, kv_bytes)
+        free_slots = await self._resources.acquire(runner_id, kv_bytes)
         if free_slots is None:
             return True
         self._handed_on = True
@@ -373,7 +373,7 @@
         self, runner_id: str, engine: engine_client.EngineClient
     ) -> None:
         self._guard.mark_sending()
-        self._holdings.touch(runner_id, engine)
+        self._resources.touch(runner_id, engine)
 
     def _note(
         self, failure: engine_failure.EngineFailure, runner_id: str
@@ -381,14 +381,14 @@
         refused = isinstance(failure, engine_failure.Refused)
         if refused or not failure.sent:  # type: ignore[union-attr]
             self._guard.mark_refused()
-            self._holdings.untouch(runner_id)
+            self._resources.untouch(runner_id)
 
     def _transfer_failed(self, runner_id: str) -> None:
         self._failed(stage.Stage.TRANSFER, runner_id)
         # The router may use the KV cache on another runner at once. If
         # it does not, nobody is going to fetch it: it is freed.
         if not self._context.scheduler.has_action(self._item.work_id):
-            self._holdings.free()
+            self._resources.free()
 
     def _failed(self, at: stage.Stage, runner_id: str) -> None:
         self._live.stage = stage.Stage.QUEUED
