--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -23,7 +23,7 @@
 from limpetroute.entry.manifests import manifest_watch
 from limpetroute.entry.peering import grants as grants_module
 from limpetroute.entry.peering import peer_node
-from limpetroute.entry.records import adopted_run
+from limpetroute.entry.records import taken_over_run
 from limpetroute.entry.records import live_record
 from limpetroute.entry.records import record_store
 from limpetroute.entry.runs import decision_recorder
@@ -329,7 +329,7 @@
             self.records.ended(live, time.monotonic())
             return
         self._open.add(live)
-        task = adopted_run.AdoptedRun(
+        task = taken_over_run.TakenOverRun(
             request=request,
             live=live,
             context=self._run_context(),
--- a/limpetroute/entry/records/adopted_run.py
+++ b/limpetroute/entry/records/taken_over_run.py
@@ -18,7 +18,7 @@
 Continue = typing.Callable[[int], run_task.RunTask]
 
 
-class AdoptedRun:
+class TakenOverRun:
     """Resumes the run at its runner, else continues on another.
 
     The run goes on at the runner whoever reads it, so its events are
