--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -28,7 +28,7 @@
 from limpetroute.entry.records import record_store
 from limpetroute.entry.runs import decision_recorder
 from limpetroute.entry.runs import latency_targets
-from limpetroute.entry.runs import run_freer
+from limpetroute.entry.runs import run_canceller
 from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import run_task
 from limpetroute.entry.runs import run_context
@@ -93,7 +93,7 @@
             ),
             meters=self.meters,
         )
-        self.freer = run_freer.RunFreer()
+        self.canceller = run_canceller.RunCanceller()
         self.records = record_store.RecordStore(retain_s=settings.retain_s)
         self.manifest: manifest_module.ManifestBody | None = None
         self.draining = False
@@ -201,7 +201,7 @@
         free_s = min(FREE_TIMEOUT_S, self.settings.drain_timeout_s)
         if tasks:
             await asyncio.wait(tasks, timeout=free_s)
-        await self.freer.drain(free_s)
+        await self.canceller.drain(free_s)
 
     async def callers_done(self) -> None:
         """Wait until callers have been told how it ended."""
@@ -300,7 +300,7 @@
             scheduler=self.scheduler,
             engines=self.engines,
             grants=self.grants,
-            freer=self.freer,
+            canceller=self.canceller,
             meters=self.meters,
             hops=self.hops,
             settings=self.settings,
--- a/limpetroute/entry/records/taken_over_run.py
+++ b/limpetroute/entry/records/taken_over_run.py
@@ -134,7 +134,7 @@
         )
 
     def _free(self, engine: engine_client.EngineClient) -> None:
-        self._context.freer.free(
+        self._context.canceller.cancel(
             run_id=str(self._runner['run_id']),
             engine=engine,
             on_end=_ignore,
--- a/limpetroute/entry/runs/attempt_resources.py
+++ b/limpetroute/entry/runs/attempt_resources.py
@@ -113,7 +113,7 @@
     ) -> None:
         # Room is given back only once the runner holds nothing: given
         # back before, the slot would be granted twice.
-        self._context.freer.free(
+        self._context.canceller.cancel(
             run_id=attempt.run_id,
             engine=engine,
             on_end=functools.partial(
--- a/limpetroute/entry/runs/run_freer.py
+++ b/limpetroute/entry/runs/run_canceller.py
@@ -14,7 +14,7 @@
 MAX_PAUSE_S = 2.0
 
 
-class RunFreer:
+class RunCanceller:
     """Owns the cancel calls, so that none is lost with its request.
 
     A cancel that belonged to the request's own task would die with it,
@@ -38,7 +38,7 @@
         """Runs that no runner has confirmed as ended yet."""
         return len(self._tasks)
 
-    def free(
+    def cancel(
         self,
         *,
         run_id: str,
--- a/limpetroute/entry/runs/run_context.py
+++ b/limpetroute/entry/runs/run_context.py
@@ -6,7 +6,7 @@
 from limpetroute.border import entry_settings
 from limpetroute.entry.peering import grants as grants_module
 from limpetroute.entry.records import live_record
-from limpetroute.entry.runs import run_freer
+from limpetroute.entry.runs import run_canceller
 from limpetroute.entry.runs import scheduler as scheduler_module
 from limpetroute.runners import engine_pool
 from limpetroute.telemetry import hops as hops_module
@@ -27,7 +27,7 @@
         Clients of the runners.
     grants : GrantSource
         Room at the runners.
-    freer : RunFreer
+    canceller : RunCanceller
         Ends runs at runners.
     meters : Meters
         Counts.
@@ -42,7 +42,7 @@
     scheduler: scheduler_module.Scheduler
     engines: engine_pool.EnginePool
     grants: grants_module.GrantSource
-    freer: run_freer.RunFreer
+    canceller: run_canceller.RunCanceller
     meters: meters_module.Meters
     hops: hops_module.Hops
     settings: entry_settings.EntrySettings
--- a/tests/entry/test_gone_callers.py
+++ b/tests/entry/test_gone_callers.py
@@ -17,7 +17,7 @@
     await fleet_module.until(
         lambda: (
             fleet.host.in_progress == 0
-            and fleet.host.freer.pending == 0
+            and fleet.host.canceller.pending == 0
             and fleet.kv_used_bytes() == 0
         ),
         limit_s=LIMIT_S,
