--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -301,5 +301,5 @@
     return {
         'runner_id': live.runner_id,
         'run_id': live.attempt_run_id,
-        'base': live.attempt_base,
+        'base': live.attempt_start_index,
     }
--- a/limpetroute/entry/records/live_record.py
+++ b/limpetroute/entry/records/live_record.py
@@ -34,7 +34,7 @@
         '_waiters',
         'arrived_s',
         'attached',
-        'attempt_base',
+        'attempt_start_index',
         'attempt_run_id',
         'before_end',
         'cancel_reason',
@@ -68,7 +68,7 @@
         self.task: asyncio.Task[None] | None = None
         self.stage = stage_module.Stage.QUEUED
         self.attempt_run_id: str | None = None
-        self.attempt_base = 0
+        self.attempt_start_index = 0
         self.before_end: BeforeEnd | None = None
         self.runner_id: str | None = None
         self.cancel_reason = 'caller_gone'
--- a/limpetroute/entry/records/taken_over_run.py
+++ b/limpetroute/entry/records/taken_over_run.py
@@ -85,7 +85,7 @@
         record = self._live.record
         base = int(self._runner['base'])
         self._live.attempt_run_id = str(self._runner['run_id'])
-        self._live.attempt_base = base
+        self._live.attempt_start_index = base
         self._live.runner_id = str(self._runner['runner_id'])
         if self._context.copy is not None:
             await self._context.copy(self._live)
--- a/limpetroute/entry/runs/attempt_resources.py
+++ b/limpetroute/entry/runs/attempt_resources.py
@@ -38,7 +38,7 @@
         self.free()
         self.attempt = attempt
         self._live.attempt_run_id = attempt.run_id
-        self._live.attempt_base = attempt.base
+        self._live.attempt_start_index = attempt.base
         return attempt
 
     def touch(
