--- a/limpetroute/entry/callers/runners_handler.py
+++ b/limpetroute/entry/callers/runners_handler.py
@@ -17,7 +17,7 @@
         except errors.InvalidInputError as exc:
             self.fail(400, str(exc), code='invalid_body')
             return
-        self.host.announced(body)
+        self.host.receive_announcement(body)
         self.set_status(204)
 
     def get(self) -> None:
--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -225,7 +225,7 @@
         self._recorder.close()
         await asyncio.to_thread(self.exports.close)
 
-    def announced(self, body: announcement.AnnouncementBody) -> None:
+    def receive_announcement(self, body: announcement.AnnouncementBody) -> None:
         """Take a runner's announcement."""
         now_s = time.monotonic()
         if body.runner_id in self.drained_runners:
@@ -242,7 +242,7 @@
         LOG.info('runner %s drained by an operator', runner_id)
         body = self.runners.get(runner_id)
         if body is not None:
-            self.announced(body.model_copy(update={'cache_events': []}))
+            self.receive_announcement(body.model_copy(update={'cache_events': []}))
 
     def undrain_runner(self, runner_id: str) -> None:
         """Give it work again from its next announcement on."""
