--- a/limpetroute/entry/callers/base_handler.py
+++ b/limpetroute/entry/callers/base_handler.py
@@ -38,7 +38,7 @@
 
     def prepare(self) -> None:
         """Take up the caller's trace and refuse headers past the limits."""
-        self.host.exchanges.add(self)
+        self.host.open_handlers.add(self)
         trace_context.receive(self.request.headers.get(trace_context.HEADER))
         fields = list(self.request.headers.get_all())
         size = sum(len(name) + len(value) for name, value in fields)
@@ -52,7 +52,7 @@
 
     def on_finish(self) -> None:
         """Note that the request is answered."""
-        self.host.exchanges.discard(self)
+        self.host.open_handlers.discard(self)
 
     @property
     def team(self) -> str:
@@ -175,7 +175,7 @@
     def on_connection_close(self) -> None:
         """Note that the caller is gone."""
         self._gone = True
-        self.host.exchanges.discard(self)
+        self.host.open_handlers.discard(self)
         # Ends the wait for the rest of a body that will never come.
         super().on_connection_close()
 
--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -98,7 +98,7 @@
         self.manifest: manifest_module.ManifestBody | None = None
         self.draining = False
         # Handlers of requests that are not answered yet.
-        self.exchanges: set[object] = set()
+        self.open_handlers: set[object] = set()
         # Whether another host holds copies of the records and goes on
         # with the runs that are left when this host's drain lapses.
         self.hands_over = False
@@ -209,7 +209,7 @@
         until_s = loop.time() + self.settings.write_stall_s
         while loop.time() < until_s:
             attached = any(live.attached for live in self.records)
-            if not attached and not self.exchanges:
+            if not attached and not self.open_handlers:
                 return
             await asyncio.sleep(CALLERS_POLL_S)
 
--- a/tests/entry/test_gone_callers.py
+++ b/tests/entry/test_gone_callers.py
@@ -227,7 +227,7 @@
         )
         again = await raw_caller.ask(fleet, headers=key, **LONG)
         await fleet_module.until(
-            lambda: len(fleet.host.exchanges) == 1 + known
+            lambda: len(fleet.host.open_handlers) == 1 + known
         )
         again.fin()
         if known:
--- a/tests/entry/test_slow_readers.py
+++ b/tests/entry/test_slow_readers.py
@@ -11,7 +11,7 @@
 def _held_bytes(fleet: fleet_module.Fleet) -> int:
     """Return the most that one connection holds in the process."""
     sizes = [0]
-    for handler in fleet.host.exchanges:
+    for handler in fleet.host.open_handlers:
         stream = handler.request.connection.stream
         sizes.append(len(stream._write_buffer))
     return max(sizes)
