--- a/limpetroute/entry/callers/answer_handler.py
+++ b/limpetroute/entry/callers/answer_handler.py
@@ -78,7 +78,7 @@
         record = live.record
         # Until the first word or the first keep-alive, a refusal still
         # gets its own status.
-        await live.wait_past(
+        await live.wait_for_event(
             attachment, attachment.next_index, settings.keep_alive_s
         )
         end = record.end
@@ -121,7 +121,7 @@
     ) -> None:
         record = live.record
         while record.end is None and record.is_current(attachment):
-            await live.wait_past(
+            await live.wait_for_event(
                 attachment, sys.maxsize, self.host.settings.keep_alive_s
             )
         if not record.is_current(attachment):
--- a/limpetroute/entry/records/live_record.py
+++ b/limpetroute/entry/records/live_record.py
@@ -161,13 +161,13 @@
             await self.before_end(self)
 
     def wake(self) -> None:
-        """Wake all that wait in `wait_past`."""
+        """Wake all that wait in `wait_for_event`."""
         waiters, self._waiters = self._waiters, []
         for _, waiter in waiters:
             if not waiter.done():
                 waiter.set_result(False)
 
-    async def wait_past(
+    async def wait_for_event(
         self,
         attachment: request_record.Attachment,
         index: int,
