--- a/limpetroute/entry/callers/request_handler.py
+++ b/limpetroute/entry/callers/request_handler.py
@@ -20,7 +20,7 @@
             return
         live.cancel('cancelled_by_caller')
         if live.task is not None:
-            await live.ended()
+            await live.wait_ended()
         self._show(live)
 
     async def _find(self, request_id: str) -> live_record.LiveRecord | None:
--- a/limpetroute/entry/records/live_record.py
+++ b/limpetroute/entry/records/live_record.py
@@ -111,7 +111,7 @@
         self.cancel_reason = reason
         self.task.cancel()
 
-    async def ended(self) -> None:
+    async def wait_ended(self) -> None:
         """Wait for the end of the run."""
         if self.task is not None:
             await asyncio.wait([self.task])
--- a/tests/entry/test_answers_whole.py
+++ b/tests/entry/test_answers_whole.py
@@ -329,7 +329,7 @@
             max_tokens=3,
         )
         live = fleet.host.submit(request)
-        await live.ended()
+        await live.wait_ended()
         assert live.record.end.kind == 'not_run'
         taken = live_record.LiveRecord(record=_record(), shape=live.shape)
         await fleet.host._run_task(request, taken, 1).run()
