--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -203,7 +203,7 @@
             await asyncio.wait(tasks, timeout=free_s)
         await self.canceller.drain(free_s)
 
-    async def callers_done(self) -> None:
+    async def wait_for_callers(self) -> None:
         """Wait until callers have been told how it ended."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + self.settings.write_stall_s
--- a/limpetroute/entry/server.py
+++ b/limpetroute/entry/server.py
@@ -88,7 +88,7 @@
         await self.host.drain()
         for server in self._servers:
             server.stop()
-        await self.host.callers_done()
+        await self.host.wait_for_callers()
         for server in self._servers:
             await server.close_all_connections()
         await self.host.stop()
