--- a/limpetroute/entry/manifests/manifest_watch.py
+++ b/limpetroute/entry/manifests/manifest_watch.py
@@ -58,7 +58,7 @@
         self._urls = [url.rstrip('/') for url in settings.control_urls]
         self._place = 0
         self._learned = False
-        self._heard_s: float | None = None
+        self._last_contact_s: float | None = None
         self._task: asyncio.Task[None] | None = None
         self.number = 0
         kept = self._file.load()
@@ -97,9 +97,9 @@
         """
         if self._settings.when_isolated == 'serve_on' or not self._urls:
             return False
-        if self._heard_s is None:
+        if self._last_contact_s is None:
             return True
-        return now_s - self._heard_s > self._settings.isolation_s
+        return now_s - self._last_contact_s > self._settings.isolation_s
 
     def _take(self, body: manifest_module.ManifestBody) -> None:
         self.number = body.number
@@ -173,7 +173,7 @@
             return False
         if in_touch:
             self._learned = True
-            self._heard_s = asyncio.get_running_loop().time()
+            self._last_contact_s = asyncio.get_running_loop().time()
         if body is not None and body.number > self.number:
             # Kept first: in force and then lost in a restart, it would
             # have gone back.
--- a/tests/peers/test_manifest_from_peers.py
+++ b/tests/peers/test_manifest_from_peers.py
@@ -54,7 +54,7 @@
             assert all(host.manifest.number == 7 for host in hosts)
             assert not hosts[1].watch.offer(manifest.ManifestBody(number=6))
             assert hosts[1].manifest.number == 7
-            assert hosts[1].watch._heard_s is None
+            assert hosts[1].watch._last_contact_s is None
         finally:
             await asyncio.gather(*(server.stop() for server in servers))
 
