--- a/limpetroute/entry/runs/retry_budget.py
+++ b/limpetroute/entry/runs/retry_budget.py
@@ -22,7 +22,7 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(left={self._left!r})'
 
-    def fresh(self) -> None:
+    def note_first_try(self) -> None:
         """Note a first try."""
         self._left = min(MOST, self._left + SHARE)
 
--- a/limpetroute/entry/services/repeatable_calls.py
+++ b/limpetroute/entry/services/repeatable_calls.py
@@ -49,7 +49,7 @@
         guard = send_guard.SendGuard()
         tried: set[str] = set()
         last: service_call.ServiceResult | None = None
-        self._budget.fresh()
+        self._budget.note_first_try()
         while len(tried) < MAX_TRIES:
             left_s = until_s - loop.time()
             runner = self._pool.pick(call.service, tried)
