--- a/limpetroute/entry/callers/attachment_writer.py
+++ b/limpetroute/entry/callers/attachment_writer.py
@@ -86,7 +86,9 @@
         attachment = self._attachment
         index = attachment.next_index
         while True:
-            woken = await live.wait_for_event(attachment, index, self._keep_alive_s)
+            woken = await live.wait_for_event(
+                attachment, index, self._keep_alive_s
+            )
             if not record.is_current(attachment):
                 return False
             if not woken:
--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -23,15 +23,15 @@
 from limpetroute.entry.manifests import manifest_watch
 from limpetroute.entry.peering import grants as grants_module
 from limpetroute.entry.peering import peer_node
-from limpetroute.entry.records import taken_over_run
 from limpetroute.entry.records import live_record
 from limpetroute.entry.records import record_store
+from limpetroute.entry.records import taken_over_run
 from limpetroute.entry.runs import decision_recorder
 from limpetroute.entry.runs import latency_targets
 from limpetroute.entry.runs import run_canceller
+from limpetroute.entry.runs import run_context
 from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import run_task
-from limpetroute.entry.runs import run_context
 from limpetroute.entry.runs import scheduler as scheduler_module
 from limpetroute.entry.services import control_claims
 from limpetroute.entry.services import service_desk
@@ -225,7 +225,9 @@
         self._recorder.close()
         await asyncio.to_thread(self.exports.close)
 
-    def receive_announcement(self, body: announcement.AnnouncementBody) -> None:
+    def receive_announcement(
+        self, body: announcement.AnnouncementBody
+    ) -> None:
         """Take a runner's announcement."""
         now_s = time.monotonic()
         if body.runner_id in self.drained_runners:
@@ -242,7 +244,9 @@
         LOG.info('runner %s drained by an operator', runner_id)
         body = self.runners.get(runner_id)
         if body is not None:
-            self.receive_announcement(body.model_copy(update={'cache_events': []}))
+            self.receive_announcement(
+                body.model_copy(update={'cache_events': []})
+            )
 
     def undrain_runner(self, runner_id: str) -> None:
         """Give it work again from its next announcement on."""
--- a/limpetroute/entry/records/taken_over_run.py
+++ b/limpetroute/entry/records/taken_over_run.py
@@ -6,9 +6,9 @@
 
 from limpetroute.entry.records import live_record
 from limpetroute.entry.runs import answer_reader
+from limpetroute.entry.runs import run_context
 from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import run_task
-from limpetroute.entry.runs import run_context
 from limpetroute.peers import run_end
 from limpetroute.runners import engine_call
 from limpetroute.runners import engine_client
--- a/limpetroute/entry/runs/attempt_resources.py
+++ b/limpetroute/entry/runs/attempt_resources.py
@@ -135,7 +135,9 @@
     ) -> None:
         self._release(runner_id, run_id)
         if gone_s is not None and confirmed:
-            self._context.meters.gone_caller_freed(at, time.monotonic() - gone_s)
+            self._context.meters.gone_caller_freed(
+                at, time.monotonic() - gone_s
+            )
 
     def _release(self, runner_id: str, run_id: str) -> None:
         self._context.grants.release(runner_id=runner_id, work_id=run_id)
--- a/limpetroute/entry/runs/run_task.py
+++ b/limpetroute/entry/runs/run_task.py
@@ -11,10 +11,10 @@
 from limpetroute.entry.records import live_record
 from limpetroute.entry.records import outcome
 from limpetroute.entry.runs import attempt as attempt_module
-from limpetroute.entry.runs import decode_stream
 from limpetroute.entry.runs import attempt_resources
-from limpetroute.entry.runs import run_request
+from limpetroute.entry.runs import decode_stream
 from limpetroute.entry.runs import run_context
+from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import send_guard
 from limpetroute.peers import run_end
 from limpetroute.runners import engine_call
@@ -74,7 +74,9 @@
         self._live = live
         self._context = context
         self._guard = send_guard.SendGuard()
-        self._resources = attempt_resources.AttemptResources(live=live, context=context)
+        self._resources = attempt_resources.AttemptResources(
+            live=live, context=context
+        )
         self._handed_on = False
         self._tries = tries
         if tries:
@@ -366,7 +368,9 @@
         if free_slots is None:
             return True
         self._handed_on = True
-        self._context.scheduler.denied(self._item.work_id, runner_id, free_slots)
+        self._context.scheduler.denied(
+            self._item.work_id, runner_id, free_slots
+        )
         return False
 
     def _send(
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -192,7 +192,9 @@
                 b'POST /v1/completions HTTP/1.1\r\nHost: x\r\n'
                 b'Content-Length: 1000\r\n\r\n{'
             )
-            await fleet_module.until(lambda: len(fleet.host.open_handlers) == 1)
+            await fleet_module.until(
+                lambda: len(fleet.host.open_handlers) == 1
+            )
             caller.rst()
             await fleet_module.until(lambda: not fleet.host.open_handlers)
         await fleet_module.until(
