--- a/limpetroute/agreement/membership_reconciler.py
+++ b/limpetroute/agreement/membership_reconciler.py
@@ -1,38 +1,39 @@
-"""Keeps a group at its size while hosts come, go and lose disks."""
+"""Keeps the number of voters while hosts join, leave or lose disks."""
 
 import typing
 
 from limpetroute.agreement import events
 from limpetroute.agreement import replica as replica_module
 
-# A host that is frozen or cut off for some seconds comes back with its
-# disk; taking its place at once would cost a copy of the state each
-# time. After this long without a word, a newcomer that has caught up
-# takes it.
-GONE_S = 6.0
+# A host that is frozen or partitioned for some seconds returns with its
+# disk, and replacing it at once would cost a copy of the state each time.
+# After this time without contact, a learner that has caught up replaces
+# it.
+REPLACE_AFTER_S = 6.0
 
 
 class MembershipReconciler:
-    """Keeps a group at its size while hosts come, go and lose disks.
+    """Keeps the number of voters while hosts join, leave or lose disks.
 
-    One change at a time, and a voter is removed only for one of three
-    reasons: its host is there with another disk, so this one is lost;
-    it was silent for `GONE_S` and a caught-up learner can take its
-    place; or it is one too many. A removal with nobody to take the
-    place would only make the group bear fewer losses.
+    The leader makes one membership change at a time. It removes a
+    member whose host is present with another disk, because its own disk
+    is lost, and a learner that was silent for `REPLACE_AFTER_S`. It
+    removes a silent voter only if a learner that has caught up can
+    replace it and the group has all wanted voters. A removal without a
+    replacement would only reduce the losses that the group tolerates.
 
     Parameters
     ----------
-    gone_s : float
-        Silence after which a newcomer takes a host's place.
+    replace_after_s : float
+        Silence after which a member is replaced.
     """
 
-    def __init__(self, *, gone_s: float = GONE_S) -> None:
-        self._gone_s = gone_s
-        self._seen_s: dict[str, float] = {}
+    def __init__(self, *, replace_after_s: float = REPLACE_AFTER_S) -> None:
+        self._replace_after_s = replace_after_s
+        self._last_seen_s: dict[str, float] = {}
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(seen={len(self._seen_s)!r})'
+        return f'{type(self).__name__}(seen={len(self._last_seen_s)!r})'
 
     def next_change(
         self,
@@ -42,32 +43,32 @@
         wanted_voters: int,
         now_s: float,
     ) -> events.AddLearner | events.RemoveMember | None:
-        """Return the next change of the membership, if one is due.
+        """Return the next membership change, if one is due.
 
         Parameters
         ----------
         replica : Replica
             This host's replica of the group.
         present : mapping of str to str
-            The replica of each host heard of late, by host.
+            Replica of each host that was in contact recently, by host.
         wanted_voters : int
-            Voters that the group should have.
+            Number of voters that the group should have.
         now_s : float
             The replica's clock.
         """
         if replica.role is not replica_module.Role.LEADER:
-            self._seen_s.clear()
+            self._last_seen_s.clear()
             return None
         members = replica.membership.members
-        for one in members:
-            if present.get(one.host_id) == one.replica_id:
-                self._seen_s[one.replica_id] = now_s
-            self._seen_s.setdefault(one.replica_id, now_s)
-        gone = self._lost_disk(replica, present)
-        if gone is None:
-            gone = self._silent(replica, wanted_voters, now_s)
-        if gone is not None:
-            return events.RemoveMember(replica_id=gone)
+        for member in members:
+            if present.get(member.host_id) == member.replica_id:
+                self._last_seen_s[member.replica_id] = now_s
+            self._last_seen_s.setdefault(member.replica_id, now_s)
+        removed_id = self._member_of_lost_disk(replica, present)
+        if removed_id is None:
+            removed_id = self._silent_member(replica, wanted_voters, now_s)
+        if removed_id is not None:
+            return events.RemoveMember(replica_id=removed_id)
         for host_id, replica_id in sorted(present.items()):
             if replica.membership.get(replica_id) is not None:
                 continue
@@ -76,20 +77,20 @@
             return events.AddLearner(replica_id=replica_id, host_id=host_id)
         return None
 
-    def _lost_disk(
+    def _member_of_lost_disk(
         self,
         replica: replica_module.Replica,
         present: typing.Mapping[str, str],
     ) -> str | None:
-        for one in replica.membership.members:
-            if one.replica_id == replica.replica_id:
+        for member in replica.membership.members:
+            if member.replica_id == replica.replica_id:
                 continue
-            now_there = present.get(one.host_id)
-            if now_there is not None and now_there != one.replica_id:
-                return one.replica_id
+            present_id = present.get(member.host_id)
+            if present_id is not None and present_id != member.replica_id:
+                return member.replica_id
         return None
 
-    def _silent(
+    def _silent_member(
         self,
         replica: replica_module.Replica,
         wanted_voters: int,
@@ -97,18 +98,21 @@
     ) -> str | None:
         voters = replica.membership.voters
         learners = [
-            one.replica_id
-            for one in replica.membership.members
-            if not one.voter
+            member.replica_id
+            for member in replica.membership.members
+            if not member.voter
         ]
-        ready = any(replica.has_caught_up(one) for one in learners)
-        for one in replica.membership.members:
-            if one.replica_id == replica.replica_id:
+        ready = any(replica.has_caught_up(learner) for learner in learners)
+        for member in replica.membership.members:
+            if member.replica_id == replica.replica_id:
                 continue
-            if now_s - self._seen_s[one.replica_id] <= self._gone_s:
+            if (
+                now_s - self._last_seen_s[member.replica_id]
+                <= self._replace_after_s
+            ):
                 continue
-            if not one.voter:
-                return one.replica_id
+            if not member.voter:
+                return member.replica_id
             if ready and len(voters) >= wanted_voters:
-                return one.replica_id
+                return member.replica_id
         return None
--- a/limpetroute/routing/runner_selector.py
+++ b/limpetroute/routing/runner_selector.py
@@ -1,4 +1,4 @@
-"""Chooses the runners of waiting streams, at one moment."""
+"""Chooses the runners of waiting streams in one scheduling pass."""
 
 import dataclasses
 import math
@@ -13,16 +13,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ChosenRunners:
-    """The runners of one stream.
+    """The runners chosen for one stream.
 
     Parameters
     ----------
     decode_runner : RunnerInfo
-        Writes its answer.
+        Runner that decodes its answer.
     prefill_runner : RunnerInfo or None
-        Reads its prompt; None if the decode runner does.
+        Runner that prefills its prompt; None if the decode runner does.
     ready_s : float
-        When its first event is expected.
+        Expected time of its first event.
     """
 
     decode_runner: runner_info.RunnerInfo
@@ -31,23 +31,24 @@
 
 
 class RunnerSelector:
-    """Chooses the runners of waiting streams, at one moment.
+    """Chooses the runners of waiting streams in one scheduling pass.
 
-    What is found for one stream holds for those behind it: with all
-    prefill runners busy, the rest of the queue is not offered to them.
+    Results are reused for the streams further back in the queue: once all
+    prefill runners are busy, they are not searched again in this pass.
 
     Parameters
     ----------
     prefill : PrefillQueue
-        When runners may read.
+        Expected prefill times of the runners.
     decode_placement : DecodePlacement
-        Which decode runner has room.
+        Finds the decode runner with enough free memory.
     fleet : Fleet
-        The runners that are used now.
+        The runners in use.
     freed : sequence of RunnerInfo
-        Decode runners that a stream has left, most free first.
+        Decode runners at which a stream has ended since the last pass, the
+        one with the most free memory first.
     now_s : float
-        The moment.
+        Time of the pass.
     """
 
     def __init__(
@@ -66,51 +67,56 @@
         self._now_s = now_s
         self._prefill_runner: runner_info.RunnerInfo | None = None
         self._prefill_runner_is_busy = False
-        self._idle: list[runner_info.RunnerInfo] | None = None
+        self._candidates: list[runner_info.RunnerInfo] | None = None
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(now_s={self._now_s!r})'
 
     @property
     def freed_tokens(self) -> float:
-        """Most memory that is free at a runner that a stream has left."""
+        """Most free memory of any runner in `freed`, in tokens."""
         return max(map(self._free_tokens, self._freed), default=-math.inf)
 
     def choose(
-        self, one: waiting_stream.WaitingStream
+        self, stream: waiting_stream.WaitingStream
     ) -> ChosenRunners | None:
-        """Return the runners that a stream gets, or None.
+        """Return the runners for a stream, or None if it must wait.
 
-        They are expected to be taken before the next stream is asked for.
+        The caller must reserve the runners before it chooses those of the
+        next stream.
         """
-        ask = one.request
+        request = stream.request
         prefill_runner = (
-            self._first_free_prefill_runner() if ask.reads_prompt else None
+            self._first_free_prefill_runner() if request.reads_prompt else None
         )
         if prefill_runner is not None and self._prefill_runner_is_busy:
-            # A decode runner with room that reads the prompt itself is
-            # slower, but may be done sooner than the queue.
+            # A decode runner that prefills itself is slower, but may finish
+            # earlier than the busy prefill runner with its queue.
             if (
                 not self._prefill.decodes_during_prefill
-                or not self._idle_runners
+                or not self._self_prefill_candidates
             ):
                 return None
-            ready_s = self._prefill.ready_s(ask, None, self._now_s)
+            ready_s = self._prefill.ready_s(request, None, self._now_s)
             if ready_s >= self._prefill.ready_s(
-                ask, prefill_runner, self._now_s
+                request, prefill_runner, self._now_s
             ):
                 return None
             prefill_runner = None
         else:
-            ready_s = self._prefill.ready_s(ask, prefill_runner, self._now_s)
+            ready_s = self._prefill.ready_s(
+                request, prefill_runner, self._now_s
+            )
         if prefill_runner is None:
-            decode_runner = self._self_prefilling_decode_runner(one, ready_s)
+            decode_runner = self._self_prefilling_decode_runner(
+                stream, ready_s
+            )
         else:
-            decode_runner = self._best_decode_runner(one, ready_s)
+            decode_runner = self._best_decode_runner(stream, ready_s)
         if decode_runner is None:
             return None
         if prefill_runner is None:
-            self._idle = None
+            self._candidates = None
         else:
             self._prefill_runner = None
         return ChosenRunners(
@@ -134,39 +140,41 @@
         return self._prefill_runner
 
     def _best_decode_runner(
-        self, one: waiting_stream.WaitingStream, ready_s: float
+        self, stream: waiting_stream.WaitingStream, ready_s: float
     ) -> runner_info.RunnerInfo | None:
-        if one.fits_nowhere:
+        if stream.fits_nowhere:
             return self._decode_placement.best_of(
-                one.request, self._freed, ready_s, self._now_s
+                stream.request, self._freed, ready_s, self._now_s
             )
-        found = self._decode_placement.best(one.request, ready_s, self._now_s)
-        one.fits_nowhere = found is None
+        found = self._decode_placement.best(
+            stream.request, ready_s, self._now_s
+        )
+        stream.fits_nowhere = found is None
         return found
 
     def _self_prefilling_decode_runner(
-        self, one: waiting_stream.WaitingStream, ready_s: float
+        self, stream: waiting_stream.WaitingStream, ready_s: float
     ) -> runner_info.RunnerInfo | None:
-        """Return the best decode runner that may read a prompt now."""
-        idle = self._idle_runners
-        if self._prefill.exceeds_pause_limit(one.request):
-            on_time = one.meets_targets(ready_s)
-            idle = [
+        """Return the best decode runner to prefill the prompt itself."""
+        candidates = self._self_prefill_candidates
+        if self._prefill.exceeds_pause_limit(stream.request):
+            on_time = stream.meets_targets(ready_s)
+            candidates = [
                 runner
-                for runner in idle
+                for runner in candidates
                 if self._prefill.may_prefill_long(runner, on_time=on_time)
             ]
         return self._decode_placement.best_of(
-            one.request, idle, ready_s, self._now_s
+            stream.request, candidates, ready_s, self._now_s
         )
 
     @property
-    def _idle_runners(self) -> list[runner_info.RunnerInfo]:
-        """Decode runners that may read a prompt now, most free first."""
-        if self._idle is None:
-            self._idle = [
-                one
-                for _, one in self._fleet.decode_runners.by_free_memory()
-                if self._prefill.may_self_prefill(one, self._now_s)
+    def _self_prefill_candidates(self) -> list[runner_info.RunnerInfo]:
+        """Decode runners that may prefill now, most free memory first."""
+        if self._candidates is None:
+            self._candidates = [
+                runner
+                for _, runner in self._fleet.decode_runners.by_free_memory()
+                if self._prefill.may_self_prefill(runner, self._now_s)
             ]
-        return self._idle
+        return self._candidates
--- a/tests/agreement/test_fuzz.py
+++ b/tests/agreement/test_fuzz.py
@@ -10,7 +10,7 @@
 
 
 class ReplicaMachine(stateful.RuleBasedStateMachine):
-    """Faults in any order, against the cluster's oracle of dicts."""
+    """Injects faults in any order and checks the cluster's oracle."""
 
     size = 3
     cluster_type = cluster_module.Cluster
@@ -90,17 +90,17 @@
         strays=st.sampled_from([0.0, 0.5]), count=st.integers(10, 25)
     )
     def isolate_leader_under_load(self, strays, count):
-        """A leader is cut off with proposals on their way."""
+        """Partition the leader while proposals are in flight."""
         self.host(0)
         leader = self.cluster.leader()
         if leader is None:
             return
-        before = self.cluster.strays
-        self.cluster.strays = strays
+        before = self.cluster.stray_rate
+        self.cluster.stray_rate = strays
         self.cut_off(int(leader.host_id[1:]), True, True)
         self.claim(self.cluster.commands)
         self.cluster.run(2)
-        self.cluster.strays = before
+        self.cluster.stray_rate = before
         self.cluster.run(count)
         self.claim(self.cluster.commands)
         self.cluster.run(2)
@@ -122,12 +122,12 @@
         strays=st.sampled_from([0.0, 0.2]),
         jitter=st.sampled_from([0, 3, 8]),
     )
-    def weather(self, loss, duplicates, strays, jitter):
+    def network_faults(self, loss, duplicates, strays, jitter):
         self.host(0)
-        self.cluster.loss = loss
-        self.cluster.duplicates = duplicates
-        self.cluster.strays = strays
-        self.cluster.jitter = jitter
+        self.cluster.loss_rate = loss
+        self.cluster.duplicate_rate = duplicates
+        self.cluster.stray_rate = strays
+        self.cluster.max_delay_steps = jitter
 
     @stateful.rule(number=HOSTS)
     def compact(self, number):
@@ -138,12 +138,12 @@
         self.cluster.fail_disk(self.host(number))
 
     @stateful.rule(number=HOSTS)
-    def stall_disk_or_end_it(self, number):
+    def toggle_disk_stall(self, number):
         self.cluster.stalled.symmetric_difference_update({self.host(number)})
 
     @stateful.rule(number=HOSTS, count=st.integers(100, 200))
-    def miss_hundreds(self, number, count):
-        """A replica is away for hundreds of changes and comes back."""
+    def miss_hundreds_of_changes(self, number, count):
+        """Stop a replica, commit hundreds of changes, and restart it."""
         host = self.host(number)
         self.cluster.crash(host, 0)
         for place in range(count):
@@ -159,9 +159,9 @@
 
     @stateful.rule(number=HOSTS)
     def second_failure_right_after_repair(self, number):
-        """A disk is lost and replaced; at that moment a host dies."""
+        """Lose and replace a disk; crash another host right after that."""
         host = self.host(number)
-        leader = self.cluster.calm()
+        leader = self.cluster.end_faults()
         if leader.host_id == host:
             return
         self.cluster.compact(leader.host_id)
@@ -188,7 +188,7 @@
 
     @stateful.rule(number=HOSTS)
     def repair_all_then_lose_next(self, number):
-        """Disks are lost one after the other, each repaired before."""
+        """Lose two disks, the second after the first was repaired."""
         host = self.host(number)
         for other in (host, f'c{(number + 1) % self.size}'):
             self.cluster.run(20)
@@ -197,10 +197,10 @@
                 self.cluster.start(other)
 
     @stateful.rule(number=HOSTS)
-    def calm_then_return(self, number):
-        """All is well again, and a host that was cut off comes back."""
+    def return_after_partition(self, number):
+        """End all faults; a host that was partitioned then returns."""
         host = self.host(number)
-        leader = self.cluster.calm()
+        leader = self.cluster.end_faults()
         self.cluster.check_reads()
         if leader.host_id == host:
             return
@@ -222,7 +222,7 @@
     def teardown(self):
         if self.cluster is None:
             return
-        self.cluster.calm()
+        self.cluster.end_faults()
         self.cluster.check_reads()
 
 
@@ -241,14 +241,14 @@
     )
 
 
-def test_three_replicas_keep_their_word():
+def test_three_replicas_keep_acknowledged_changes():
     ReplicaMachine.rules_run = 0
     stateful.run_state_machine_as_test(ReplicaMachine, settings=_settings(260))
     print(f'3 replicas: {ReplicaMachine.rules_run} rule steps')
     assert ReplicaMachine.rules_run >= 12000, ReplicaMachine.rules_run
 
 
-def test_five_replicas_keep_their_word():
+def test_five_replicas_keep_acknowledged_changes():
     FiveReplicaMachine.rules_run = 0
     stateful.run_state_machine_as_test(
         FiveReplicaMachine, settings=_settings(170)
