--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -1,4 +1,4 @@
-"""Everything one entry process shares between its handlers."""
+"""State of one entry process, shared by its HTTP handlers."""
 
 import asyncio
 import functools
@@ -56,7 +56,7 @@
     Parameters
     ----------
     settings : EntrySettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, *, settings: entry_settings.EntrySettings) -> None:
@@ -99,8 +99,8 @@
         self.draining = False
         # Handlers of requests that are not answered yet.
         self.open_handlers: set[object] = set()
-        # Whether another host holds copies of the records and goes on
-        # with the runs that are left when this host's drain lapses.
+        # Whether another host has copies of the records and continues
+        # the runs that are open when this host's drain times out.
         self.hands_over = False
         self.peers: peer_node.PeerNode | None = None
         self._index = manifest_index_module.ManifestIndex(manifest=None)
@@ -109,8 +109,8 @@
         self.watch = manifest_watch.ManifestWatch(
             settings=settings,
             http=self.http,
-            on_manifest=self._in_force,
-            hosts_ahead=self._hosts_ahead,
+            on_manifest=self._set_manifest,
+            hosts_ahead=self._hosts_with_newer,
         )
 
     def __repr__(self) -> str:
@@ -118,24 +118,28 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this host takes new work."""
+        """Whether this host accepts new requests."""
         if self.draining or self.watch.refuses_work(time.monotonic()):
             return False
         return self.peers is None or self.peers.copies.may_serve
 
     @property
     def in_progress(self) -> int:
-        """Requests that have not ended."""
+        """Number of requests that have not ended."""
         return len(self._open)
 
     @property
-    def _pending(self) -> set[asyncio.Task[typing.Any]]:
+    def _open_tasks(self) -> set[asyncio.Task[typing.Any]]:
         runs = {live.task for live in self._open if live.task is not None}
         return runs | self.services.tasks
 
     @property
     def manifest_index(self) -> manifest_index_module.ManifestIndex:
-        """Look-ups in the manifest in force."""
+        """Index of the manifest in force.
+
+        After a manifest has changed, the first access rebuilds the index
+        and passes the manifest's policy to the scheduler.
+        """
         if self._index.manifest is not self.manifest:
             self._index = manifest_index_module.ManifestIndex(
                 manifest=self.manifest
@@ -149,8 +153,8 @@
     def knows_model(self, name: str) -> bool:
         """Whether the manifest or a runner names the model.
 
-        A host that has heard of nothing yet cannot tell a wrong name
-        from an early one.
+        A host without a manifest and without runners accepts any name,
+        because a runner that serves the model may announce itself later.
         """
         if self.manifest_index.has_model(name):
             return True
@@ -159,14 +163,21 @@
         return any(name in body.models for body in self.runners.all())
 
     def join_peers(self, url: str) -> None:
-        """Become one of the entry hosts, reached at an address."""
+        """Join the group of entry hosts.
+
+        Parameters
+        ----------
+        url : str
+            Address at which the other hosts reach this one, unless the
+            settings give one.
+        """
         self.peers = peer_node.PeerNode(
             settings=self.settings,
             url=self.settings.peers.url or url,
             http=self.http,
             engines=self.engines,
             records=self.records,
-            adopt=self._adopt,
+            adopt=self._take_over,
             abandon=self._abandon,
         )
         self.grants = self.peers.grants
@@ -176,20 +187,24 @@
         self.peers.start()
 
     def start(self) -> None:
-        """Start the periodic work."""
+        """Start the periodic tasks."""
         self._ticker = asyncio.create_task(self._tick())
         self.watch.start()
 
     async def drain(self) -> None:
-        """Let all that is in progress end, within the time limit."""
+        """Refuse new requests and end the open ones.
+
+        Requests may complete until ``drain_timeout_s``. The rest are
+        handed over to another host if there is one, and cancelled here.
+        """
         self.draining = True
         if self.peers is not None:
             self.peers.start_leaving()
         loop = asyncio.get_running_loop()
         until_s = loop.time() + self.settings.drain_timeout_s
-        while self._pending and loop.time() < until_s:
+        while self._open_tasks and loop.time() < until_s:
             await asyncio.wait(
-                self._pending,
+                self._open_tasks,
                 timeout=until_s - loop.time(),
                 return_when=asyncio.FIRST_COMPLETED,
             )
@@ -204,7 +219,10 @@
         await self.canceller.drain(free_s)
 
     async def wait_for_callers(self) -> None:
-        """Wait until callers have been told how it ended."""
+        """Wait until the outcomes of all requests are written.
+
+        Gives up after ``write_stall_s``.
+        """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + self.settings.write_stall_s
         while loop.time() < until_s:
@@ -214,7 +232,7 @@
             await asyncio.sleep(CALLERS_POLL_S)
 
     async def stop(self) -> None:
-        """Stop the periodic work."""
+        """Leave the group, stop the periodic tasks and close exports."""
         if self._ticker is not None:
             self._ticker.cancel()
         self.watch.stop()
@@ -228,7 +246,7 @@
     def receive_announcement(
         self, body: announcement.AnnouncementBody
     ) -> None:
-        """Take a runner's announcement."""
+        """Pass a runner's announcement to all parts that use it."""
         now_s = time.monotonic()
         if body.runner_id in self.drained_runners:
             body = body.model_copy(update={'leaving': True})
@@ -236,10 +254,10 @@
             LOG.info('runner %s announced as %s', body.runner_id, body.role)
         if self.peers is not None:
             self.peers.announced(body)
-        self.scheduler.announced(body)
+        self.scheduler.receive_announcement(body)
 
     def drain_runner(self, runner_id: str) -> None:
-        """Give a runner no new work, now and when it announces again."""
+        """Send a runner no new requests, also after it announces again."""
         self.drained_runners.add(runner_id)
         LOG.info('runner %s drained by an operator', runner_id)
         body = self.runners.get(runner_id)
@@ -249,7 +267,7 @@
             )
 
     def undrain_runner(self, runner_id: str) -> None:
-        """Give it work again from its next announcement on."""
+        """Send a runner requests again after its next announcement."""
         self.drained_runners.discard(runner_id)
         LOG.info('runner %s given work again', runner_id)
 
@@ -273,7 +291,7 @@
             record=record,
             shape=shape,
             include_usage=request.include_usage,
-            on_end=self._ended,
+            on_end=self._on_end,
         )
         live.arrived_s = asyncio.get_running_loop().time()
         self.records.add(live)
@@ -311,8 +329,8 @@
             copy=None if peers is None else peers.copies.ensure,
         )
 
-    def _adopt(self, copied: copy_holder.CopiedRecord) -> None:
-        """Go on with a request whose entry host is gone."""
+    def _take_over(self, copied: copy_holder.CopiedRecord) -> None:
+        """Continue a request whose entry host was lost."""
         assert self.peers is not None
         record = copied.restore()
         request = run_request.from_copy(copied.facts)
@@ -324,13 +342,13 @@
                 chat=request.chat,
             ),
             include_usage=request.include_usage,
-            on_end=self._ended,
+            on_end=self._on_end,
         )
         live.arrived_s = asyncio.get_running_loop().time()
         self.records.add(live)
         self.peers.copies.own(live, request)
         if record.end is not None:
-            self.records.ended(live, time.monotonic())
+            self.records.note_ended(live, time.monotonic())
             return
         self._open.add(live)
         task = taken_over_run.TakenOverRun(
@@ -338,13 +356,13 @@
             live=live,
             context=self._run_context(),
             runner=copied.progress.runner,
-            go_on=functools.partial(self._run_task, request, live),
+            make_task=functools.partial(self._run_task, request, live),
         )
         live.task = asyncio.create_task(task.run())
         live.await_caller(self.settings.resume_grace_s)
 
     def _abandon(self) -> None:
-        """Let go of all records; another host may have them by now."""
+        """Drop all records, which another host may have taken over."""
         assert self.peers is not None
         for live in self.records:
             self.peers.copies.sender.let_go(live.record.request_id)
@@ -354,7 +372,7 @@
             live.wake()
 
     async def _hand_over(self) -> None:
-        """Let the heir go on with what did not end in time."""
+        """Hand the open requests over to this host's successor."""
         if self.peers is None or not self._open:
             return
         copies = self.peers.copies
@@ -365,19 +383,19 @@
         for live in self._open:
             copies.sender.let_go(live.record.request_id)
 
-    def _in_force(self, body: manifest_module.ManifestBody) -> None:
+    def _set_manifest(self, body: manifest_module.ManifestBody) -> None:
         self.manifest = body
         if self.peers is not None:
             self.peers.manifest_in_force(body.number)
 
-    def _hosts_ahead(self, number: int) -> list[str]:
+    def _hosts_with_newer(self, number: int) -> list[str]:
         return [] if self.peers is None else self.peers.ahead_of(number)
 
     def _work(
         self, request: run_request.RunRequest, now_s: float
     ) -> work.Work:
         prompt = request.prompt.encode()
-        targets = latency_targets.in_force(self.manifest, self.settings)
+        targets = latency_targets.current(self.manifest, self.settings)
         return work.Work(
             work_id=request.request_id,
             team=request.team,
@@ -393,15 +411,15 @@
             key=_digest(f'{request.team}/{request.key}'),
         )
 
-    def _ended(self, live: live_record.LiveRecord) -> None:
+    def _on_end(self, live: live_record.LiveRecord) -> None:
         self._open.discard(live)
-        self.records.ended(live, time.monotonic())
+        self.records.note_ended(live, time.monotonic())
         end = live.record.end
         assert end is not None
         if end.kind is run_end.EndKind.NOT_RUN:
             self.meters.refused(end.finish_reason)
-        targets = latency_targets.in_force(self.manifest, self.settings)
-        good = targets.judge(live, self.meters)
+        targets = latency_targets.current(self.manifest, self.settings)
+        good = targets.measure(live, self.meters)
         self.meters.ended(str(end.kind), good=good)
 
     async def _tick(self) -> None:
@@ -417,10 +435,10 @@
 
 
 def new_request_id() -> str:
-    """Return an id that cannot be guessed."""
+    """Return a random request id that cannot be guessed."""
     return f'req-{secrets.token_urlsafe(18)}'
 
 
 def _digest(text: str) -> str:
-    # A recorded trace must not show a caller's own key.
+    # A recorded trace must not contain a caller's idempotency key.
     return hashlib.sha256(text.encode()).hexdigest()
--- a/limpetroute/entry/hosting/host_exports.py
+++ b/limpetroute/entry/hosting/host_exports.py
@@ -1,4 +1,4 @@
-"""Metrics and spans of one entry host."""
+"""Exports the metrics and spans of one entry host."""
 
 import functools
 import typing
@@ -20,24 +20,24 @@
 }
 
 
-def observe(found: exports.Exports, host: 'host_module.Host') -> None:
-    """Export the host's gauges, read when metrics are collected."""
+def observe(target: exports.Exports, host: 'host_module.Host') -> None:
+    """Register the host's gauges, read whenever metrics are collected."""
     for name, read in GAUGES.items():
-        found.observe(name, functools.partial(read, host))
+        target.observe(name, functools.partial(read, host))
 
 
 def build(settings: entry_settings.EntrySettings) -> exports.Exports:
-    """Make what the settings ask for."""
-    wanted = settings.telemetry
+    """Create the metric and span exports that the settings select."""
+    telemetry = settings.telemetry
     span_exporter = None
-    if wanted.spans == 'otlp':
-        span_exporter = exports.otlp_spans(wanted.otlp_url)
+    if telemetry.spans == 'otlp':
+        span_exporter = exports.otlp_spans(telemetry.otlp_url)
     return exports.Exports(
         host_id=settings.host_id,
         zone=settings.zone,
-        metrics=wanted.metrics,
-        otlp_url=wanted.otlp_url,
-        export_interval_s=wanted.export_interval_s,
+        metrics=telemetry.metrics,
+        otlp_url=telemetry.otlp_url,
+        export_interval_s=telemetry.export_interval_s,
         span_exporter=span_exporter,
-        sampled_share=wanted.sampled_share,
+        sampled_share=telemetry.sampled_share,
     )
--- a/limpetroute/entry/manifests/__init__.py
+++ b/limpetroute/entry/manifests/__init__.py
@@ -1,1 +1,1 @@
-"""The manifest in force, on disk and from control."""
+"""The manifest in force, received from control and kept on disk."""
--- a/limpetroute/entry/manifests/manifest_file.py
+++ b/limpetroute/entry/manifests/manifest_file.py
@@ -1,4 +1,4 @@
-"""The newest manifest that an entry host keeps over its restart."""
+"""Stores the newest manifest on the disk of an entry host."""
 
 import logging
 import os
@@ -13,12 +13,12 @@
 
 
 class ManifestFile:
-    """The newest manifest that an entry host keeps over its restart.
+    """File with the newest manifest, which survives a restart.
 
     Parameters
     ----------
     folder : pathlib.Path or None
-        State folder; None keeps nothing.
+        State folder; None stores nothing.
     """
 
     __slots__ = ('_path',)
@@ -30,7 +30,7 @@
         return f'{type(self).__name__}(path={str(self._path)!r})'
 
     def load(self) -> manifest_module.ManifestBody | None:
-        """Return the manifest kept, or None."""
+        """Return the stored manifest; None if none can be used."""
         if self._path is None:
             return None
         try:
@@ -47,20 +47,20 @@
             return None
 
     def save(self, body: manifest_module.ManifestBody) -> None:
-        """Keep a manifest; a disk that refuses costs a log line only.
+        """Store a manifest; a write error is only logged.
 
-        Control has it in any case; the host then learns it from there
-        at its next start.
+        The control hosts have the manifest too, so the entry host gets
+        it from them after its next start.
         """
         if self._path is None:
             return
-        aside = self._path.with_name(NAME + '.new')
+        new_path = self._path.with_name(NAME + '.new')
         try:
             self._path.parent.mkdir(parents=True, exist_ok=True)
-            with aside.open('wb') as file:
+            with new_path.open('wb') as file:
                 file.write(body.model_dump_json().encode())
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(aside, self._path)
+            os.replace(new_path, self._path)
         except OSError as exc:
             LOG.warning('%s: cannot keep the manifest: %s', self._path, exc)
--- a/limpetroute/entry/manifests/manifest_index.py
+++ b/limpetroute/entry/manifests/manifest_index.py
@@ -1,4 +1,4 @@
-"""What the entry process looks up in the manifest in force."""
+"""Index of the manifest in force."""
 
 import hashlib
 import hmac
@@ -7,12 +7,15 @@
 
 
 class ManifestIndex:
-    """Answers each look-up in constant time, built once a manifest.
+    """Looks up teams, models and services of a manifest by name.
+
+    The index is built once for each manifest, and each look-up takes
+    constant time.
 
     Parameters
     ----------
     manifest : ManifestBody or None
-        The manifest in force, or None before the first.
+        The manifest in force; None before the first one.
     """
 
     __slots__ = ('_models', '_services', '_teams', 'manifest')
@@ -42,20 +45,20 @@
 
     @property
     def has_tokens(self) -> bool:
-        """Whether callers have to bring a token."""
+        """Whether callers have to send a token."""
         return bool(self._teams)
 
     def team_of(self, token: str) -> str | None:
         """Return the team of a token, or None.
 
-        The look-up goes by the token's hash, so its time says nothing
-        of the token; the last comparison takes the same time whatever
-        it finds.
+        The time of the look-up reveals nothing about valid tokens: the
+        look-up uses the token's hash, and the final comparison takes the
+        same time for every token.
         """
-        given = hashlib.sha256(token.encode()).hexdigest()
-        team = self._teams.get(given)
-        known = given if team is not None else '0' * len(given)
-        if not hmac.compare_digest(known, given):
+        digest = hashlib.sha256(token.encode()).hexdigest()
+        team = self._teams.get(digest)
+        expected = digest if team is not None else '0' * len(digest)
+        if not hmac.compare_digest(expected, digest):
             return None
         return team
 
@@ -64,10 +67,10 @@
         return name in self._models
 
     def max_prompt_tokens(self, name: str) -> int | None:
-        """Return a model's limit, or None if the model is not named."""
+        """Return a model's prompt limit; None without limit or model."""
         model = self._models.get(name)
         return model.max_prompt_tokens if model else None
 
     def service(self, name: str) -> manifest_module.ServiceBody | None:
-        """Return a plain service, or None if it is not named."""
+        """Return a plain service, or None if the manifest lacks it."""
         return self._services.get(name)
--- a/limpetroute/entry/manifests/manifest_watch.py
+++ b/limpetroute/entry/manifests/manifest_watch.py
@@ -1,4 +1,4 @@
-"""Brings each manifest from control to this host, forward only."""
+"""Fetches newer manifests from the control hosts."""
 
 import asyncio
 import json
@@ -15,31 +15,35 @@
 
 LOG = logging.getLogger(__name__)
 
-# A call is held this long while nothing changes. A connection that has
-# gone silent is noticed SLACK_S later and another host is asked, which
-# keeps a manifest within 2 s of every host.
-HOLD_S = 1.0
+# A control host holds a long poll this long if the manifest does not
+# change. A connection that has gone silent times out SLACK_S later, and
+# the next control host is asked. So a new manifest reaches every host
+# within 2 s.
+LONG_POLL_S = 1.0
 SLACK_S = 0.5
-PAUSE_S = 0.1
-# A manifest that comes slowly, but comes, is not given up: asked for again
-# elsewhere, it would begin anew, and a large one never come in force.
+RETRY_DELAY_S = 0.1
+# A manifest that arrives slowly is not abandoned while bytes arrive. The
+# download from another host would start from the beginning, and a large
+# manifest might never come into force.
 BODY_TIMEOUT_S = 30.0
 
 
 class ManifestWatch:
-    """Brings each manifest from control to this host, forward only.
+    """Fetches each newer manifest by long polls of the control hosts.
+
+    An older manifest never replaces a newer one.
 
     Parameters
     ----------
     settings : EntrySettings
         Settings of the host.
     http : Caller
-        Makes the calls.
+        HTTP client for the calls.
     on_manifest : callable
-        Takes each newer manifest.
+        Called with each newer manifest.
     hosts_ahead : callable
-        Gives the addresses of entry hosts that have a newer manifest
-        than a number.
+        Returns the addresses of entry hosts whose manifest has a higher
+        number than the given one.
     """
 
     def __init__(
@@ -56,44 +60,45 @@
         self._hosts_ahead = hosts_ahead
         self._file = manifest_file.ManifestFile(folder=settings.state_dir)
         self._urls = [url.rstrip('/') for url in settings.control_urls]
-        self._place = 0
-        self._learned = False
+        self._url_index = 0
+        self._confirmed = False
         self._last_contact_s: float | None = None
         self._task: asyncio.Task[None] | None = None
         self.number = 0
-        kept = self._file.load()
-        if kept is not None:
-            self._take(kept)
+        stored = self._file.load()
+        if stored is not None:
+            self._apply(stored)
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(number={self.number!r})'
 
     def start(self) -> None:
-        """Begin to watch, if there is a control host to ask."""
+        """Start the polls, if the settings name a control host."""
         if self._urls:
             self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """End."""
+        """Stop the polls."""
         if self._task is not None:
             self._task.cancel()
 
     def offer(self, body: manifest_module.ManifestBody) -> bool:
-        """Take a manifest from anywhere; return whether it is newer.
+        """Apply a manifest if it is newer; return whether it was.
 
-        An old leader or a late message may offer an older one. Taken,
-        it would bring back what an operator has replaced.
+        A former leader or a late message may carry an older manifest,
+        which would restore settings that an operator has replaced.
         """
         if body.number <= self.number:
             return False
-        self._take(body)
+        self._apply(body)
         return True
 
     def refuses_work(self, now_s: float) -> bool:
-        """Return whether this host may not take new work.
+        """Return whether this host must refuse new requests.
 
-        Only by the setting ``when_isolated``: a host that hears no
-        control host in touch with a quorum may miss a newer manifest.
+        A host may miss a newer manifest if it reaches no control host
+        that is in contact with a quorum. The setting ``when_isolated``
+        says whether such a host refuses new requests.
         """
         if self._settings.when_isolated == 'serve_on' or not self._urls:
             return False
@@ -101,82 +106,85 @@
             return True
         return now_s - self._last_contact_s > self._settings.isolation_s
 
-    def _take(self, body: manifest_module.ManifestBody) -> None:
+    def _apply(self, body: manifest_module.ManifestBody) -> None:
         self.number = body.number
         self._on_manifest(body)
         LOG.info('manifest %d in force', body.number)
 
     async def _run(self) -> None:
         while True:
-            if await self._look():
+            if await self._poll_control():
                 continue
-            self._place = (self._place + 1) % len(self._urls)
-            await self._look_at_peers()
-            await asyncio.sleep(PAUSE_S)
+            self._url_index = (self._url_index + 1) % len(self._urls)
+            await self._fetch_from_peers()
+            await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _look_at_peers(self) -> None:
-        """Take a newer manifest from an entry host.
+    async def _fetch_from_peers(self) -> None:
+        """Fetch a newer manifest from another entry host.
 
-        A host that a partition cuts off from control alone would go on
-        with an old manifest for as long as it lasts, while callers at
-        the other hosts are served by the new one. Its peers hold only
-        accepted manifests, and tell their numbers with each probe.
+        If a partition separates only this host from control, this host
+        would serve by an old manifest while the other hosts serve by the
+        new one. The other entry hosts have only accepted manifests, and
+        their probes carry the manifest's number.
         """
         for url in self._hosts_ahead(self.number):
-            got = await self._http.call(
+            reply = await self._http.call(
                 method='GET',
                 url=f'{url}/v1/peers/manifest',
-                timeout_s=HOLD_S + SLACK_S,
+                timeout_s=LONG_POLL_S + SLACK_S,
                 body_timeout_s=BODY_TIMEOUT_S,
                 idle_timeout_s=SLACK_S,
             )
-            if isinstance(got, call_failed.CallFailed) or not got.ok:
+            if isinstance(reply, call_failed.CallFailed) or not reply.ok:
                 continue
-            await self._read(got.body)
+            await self._process_reply(reply.body)
             return
 
-    async def _look(self) -> bool:
+    async def _poll_control(self) -> bool:
+        """Poll a control host; return whether it reaches a quorum."""
         query = {
             'after': self.number,
-            'wait_s': HOLD_S if self._learned else 0,
+            'wait_s': LONG_POLL_S if self._confirmed else 0,
             'host': self._settings.host_id,
             'number': self.number,
         }
-        if not self._learned:
-            # A follower may lag; after a start only the leader's word
-            # keeps a host without a state folder from an older one.
+        if not self._confirmed:
+            # A follower may have an older manifest. After a start, a
+            # host without a state folder cannot detect that, so the
+            # first answer must be the leader's.
             query['sure'] = 1
-        url = self._urls[self._place]
-        got = await self._http.call(
+        url = self._urls[self._url_index]
+        reply = await self._http.call(
             method='GET',
             url=f'{url}/v1/manifest?{urllib.parse.urlencode(query)}',
-            timeout_s=HOLD_S + SLACK_S,
+            timeout_s=LONG_POLL_S + SLACK_S,
             body_timeout_s=BODY_TIMEOUT_S,
             idle_timeout_s=SLACK_S,
         )
-        if isinstance(got, call_failed.CallFailed) or not got.ok:
+        if isinstance(reply, call_failed.CallFailed) or not reply.ok:
             return False
-        return await self._read(got.body)
+        return await self._process_reply(reply.body)
 
-    async def _read(self, data: bytes) -> bool:
+    async def _process_reply(self, data: bytes) -> bool:
+        """Apply a reply's manifest; return its ``in_touch``."""
         try:
             answer = json.loads(data)
             in_touch = bool(answer['in_touch'])
-            text = answer['manifest']
+            manifest = answer['manifest']
             body = None
-            if text is not None:
+            if manifest is not None:
                 body = errors.parse(
-                    manifest_module.ManifestBody, json.dumps(text)
+                    manifest_module.ManifestBody, json.dumps(manifest)
                 )
         except (ValueError, KeyError, TypeError) as exc:
             LOG.warning('control sent no manifest: %s', exc)
             return False
         if in_touch:
-            self._learned = True
+            self._confirmed = True
             self._last_contact_s = asyncio.get_running_loop().time()
         if body is not None and body.number > self.number:
-            # Kept first: in force and then lost in a restart, it would
-            # have gone back.
+            # The manifest is stored before it comes into force. Otherwise
+            # a restart could bring an older manifest back into force.
             await asyncio.to_thread(self._file.save, body)
             self.offer(body)
         return in_touch
--- a/limpetroute/entry/records/__init__.py
+++ b/limpetroute/entry/records/__init__.py
@@ -1,1 +1,1 @@
-"""Records of requests and of finished answers."""
+"""Records of requests and of their answers."""
--- a/limpetroute/entry/records/live_record.py
+++ b/limpetroute/entry/records/live_record.py
@@ -1,4 +1,4 @@
-"""A request record together with those who wait for its events."""
+"""A request's record with its task and the waits for its events."""
 
 import asyncio
 import time
@@ -13,24 +13,43 @@
 
 
 class LiveRecord:
-    """Wakes the attachments of a record when it changes.
+    """Wakes the waits of a record's attachments when it changes.
+
+    An attachment is a caller's connection that receives the answer.
 
     Parameters
     ----------
     record : RequestRecord
         The record.
     shape : AnswerFormat
-        Shape of the answers, the same for every attachment.
+        Format of the answer, the same for every attachment.
     include_usage : bool
-        Whether streams end with the usage.
+        Whether streamed answers end with the token usage.
     on_end : callable
-        Called once with this record when it ends.
+        Called once with this record when the record ends.
+
+    Attributes
+    ----------
+    arrived_s : float
+        When the request arrived, on the event loop's clock.
+    attached : int
+        Number of open attachments.
+    attempt_start_index : int
+        Events that the answer had before the current attempt.
+    before_end : callable or None
+        Awaited with this record before its end is delivered.
+    handed_over : bool
+        Whether another host continues the request.
+    gone_s : float or None
+        When the last attachment closed, on the monotonic clock.
+    ended_s : float or None
+        When the record ended, on the monotonic clock.
     """
 
     __slots__ = (
-        '_grace',
+        '_grace_timer',
         '_on_end',
-        '_timer',
+        '_wait_timer',
         '_waiters',
         'arrived_s',
         'attached',
@@ -79,15 +98,15 @@
         self.last_token_s: float | None = None
         self.size_bytes = 0
         self._on_end = on_end
-        self._grace: asyncio.TimerHandle | None = None
-        self._timer: asyncio.TimerHandle | None = None
+        self._grace_timer: asyncio.TimerHandle | None = None
+        self._wait_timer: asyncio.TimerHandle | None = None
         self._waiters: list[tuple[float, asyncio.Future[bool]]] = []
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(record={self.record!r})'
 
     def append(self, text: str, now_s: float) -> None:
-        """Add an event."""
+        """Append an event to the answer and wake all waits."""
         if self.first_token_s is None:
             self.first_token_s = now_s
         self.last_token_s = now_s
@@ -96,7 +115,7 @@
         self.wake()
 
     def finish(self, end: run_end.RunEnd) -> None:
-        """Set the end; only the first one counts."""
+        """Set the record's end; later calls have no effect."""
         if not self.record.finish(end):
             return
         self.ended_s = time.monotonic()
@@ -105,54 +124,58 @@
             self._on_end(self)
 
     def cancel(self, reason: str) -> None:
-        """End the run; nobody is to receive more of it."""
+        """Cancel the run's task, unless the record has ended."""
         if self.record.end is not None or self.task is None:
             return
         self.cancel_reason = reason
         self.task.cancel()
 
     async def wait_ended(self) -> None:
-        """Wait for the end of the run."""
+        """Wait until the run's task is done."""
         if self.task is not None:
             await asyncio.wait([self.task])
 
     def attach(
         self, *, after_index: int | None = None
     ) -> request_record.Attachment:
-        """Make a new attachment, which fences the older ones."""
+        """Return a new attachment, which replaces the older ones."""
         attachment = self.record.attach(after_index=after_index)
         self.attached += 1
         self.gone_s = None
-        if self._grace is not None:
-            self._grace.cancel()
-            self._grace = None
+        if self._grace_timer is not None:
+            self._grace_timer.cancel()
+            self._grace_timer = None
         self.wake()
         return attachment
 
     def detach(self, grace_s: float) -> None:
-        """Take a connection away that has ended.
+        """Remove an attachment whose connection has closed.
 
-        The run goes on for ``grace_s``, in which the caller may come
-        back; then it is cancelled, so that no engine memory is held for
-        an answer that nobody is going to read.
+        If no attachment is left, the caller can reconnect within
+        ``grace_s``. After that the run is cancelled, so that an answer
+        without a receiver uses no engine memory.
         """
         self.attached -= 1
         if self.attached or self.record.end is not None:
             return
         self.gone_s = time.monotonic()
         loop = asyncio.get_running_loop()
-        self._grace = loop.call_later(grace_s, self._cancel_unless_attached)
+        self._grace_timer = loop.call_later(
+            grace_s, self._cancel_unless_attached
+        )
 
     def await_caller(self, grace_s: float) -> None:
-        """Cancel the run unless a caller attaches in time."""
+        """Cancel the run unless a caller attaches within ``grace_s``."""
         loop = asyncio.get_running_loop()
-        self._grace = loop.call_later(grace_s, self._cancel_unless_attached)
+        self._grace_timer = loop.call_later(
+            grace_s, self._cancel_unless_attached
+        )
 
     async def close(self) -> None:
-        """Note, here and at the copy, that the end may be told now.
+        """Mark, here and in the copy, that the end may be delivered.
 
-        With this host lost right after the last write, the heir would
-        otherwise tell a whole answer a second time.
+        Otherwise, if this host were lost right after the last write, its
+        successor would deliver a complete answer a second time.
         """
         if self.record.closing:
             return
@@ -161,7 +184,7 @@
             await self.before_end(self)
 
     def wake(self) -> None:
-        """Wake all that wait in `wait_for_event`."""
+        """Wake all calls of `wait_for_event`."""
         waiters, self._waiters = self._waiters, []
         for _, waiter in waiters:
             if not waiter.done():
@@ -173,47 +196,48 @@
         index: int,
         timeout_s: float,
     ) -> bool:
-        """Wait for an event from ``index`` on, the end, or a fence.
+        """Wait for an event at ``index``, the end or a newer attachment.
 
         Returns
         -------
         bool
-            False if none of them came within ``timeout_s``.
+            False if none of them occurred within ``timeout_s``.
         """
         loop = asyncio.get_running_loop()
         due_s = loop.time() + timeout_s
-        while not self._is_past(attachment, index):
+        while not self._has_update(attachment, index):
             waiter = loop.create_future()
-            place = due_s, waiter
-            self._waiters.append(place)
-            if self._timer is None:
-                self._timer = loop.call_at(due_s, self._expire)
+            entry = due_s, waiter
+            self._waiters.append(entry)
+            if self._wait_timer is None:
+                self._wait_timer = loop.call_at(due_s, self._expire_waits)
             try:
                 timed_out = await waiter
             finally:
-                if place in self._waiters:
-                    self._waiters.remove(place)
+                if entry in self._waiters:
+                    self._waiters.remove(entry)
             if timed_out:
-                return self._is_past(attachment, index)
+                return self._has_update(attachment, index)
         return True
 
-    def _expire(self) -> None:
-        """Wake those who have waited long enough.
+    def _expire_waits(self) -> None:
+        """Wake the waits that have timed out.
 
-        One timer serves all waits of a record and is set anew only when
-        it fires: a timer for each word would cost more than the word.
+        All waits of a record share one timer, which is set again only
+        after it has fired. A timer for each token would cost more than
+        handling the token.
         """
-        self._timer = None
+        self._wait_timer = None
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         for due_s, waiter in self._waiters:
             if due_s <= now_s and not waiter.done():
                 waiter.set_result(True)
-        later = [due_s for due_s, _ in self._waiters if due_s > now_s]
-        if later:
-            self._timer = loop.call_at(min(later), self._expire)
+        pending = [due_s for due_s, _ in self._waiters if due_s > now_s]
+        if pending:
+            self._wait_timer = loop.call_at(min(pending), self._expire_waits)
 
-    def _is_past(
+    def _has_update(
         self, attachment: request_record.Attachment, index: int
     ) -> bool:
         record = self.record
@@ -222,6 +246,6 @@
         return not record.is_current(attachment)
 
     def _cancel_unless_attached(self) -> None:
-        self._grace = None
+        self._grace_timer = None
         if not self.attached:
             self.cancel('caller_gone')
--- a/limpetroute/entry/records/outcome.py
+++ b/limpetroute/entry/records/outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes that a caller is told, as tagged values."""
+"""Outcomes of a request, as reported to its caller."""
 
 import dataclasses
 
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotRun:
-    """Nothing of the request ran.
+    """The request did not run, so the caller can repeat it safely.
 
-    It takes a proof, which only holds for a request of which nothing
-    ran: a caller who is told ``not_run`` can repeat it safely.
+    Each value needs a proof, which can be created only for a request
+    that did not run.
     """
 
     proof: send_guard.NotRunProof
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Cancelled:
-    """The run was ended before its answer was whole."""
+    """The run was cancelled before its answer was complete."""
 
     reason: str
 
@@ -48,7 +48,7 @@
 def given_up(
     guard: send_guard.SendGuard, reason: str, retry_after_s: float
 ) -> NotRun | Unknown:
-    """Return what is known of a request that is not run further."""
+    """Return the outcome of a request that is given up."""
     proof = guard.not_run_proof()
     if proof is None:
         return Unknown(reason=reason, retry_after_s=retry_after_s)
@@ -56,9 +56,9 @@
 
 
 def as_run_end(result: Outcome, completion_tokens: int) -> run_end.RunEnd:
-    """Turn an outcome into the end that its record keeps.
+    """Convert an outcome to the end that is stored in the record.
 
-    This is the one place that makes an end of kind ``not_run``.
+    Only this function creates ends of kind ``not_run``.
     """
     if isinstance(result, Completed):
         return run_end.RunEnd(
--- a/limpetroute/entry/records/record_store.py
+++ b/limpetroute/entry/records/record_store.py
@@ -1,4 +1,4 @@
-"""The records that this host holds."""
+"""The request records of this host."""
 
 import collections
 import typing
@@ -10,18 +10,18 @@
 
 
 class RecordStore:
-    """Finds records by id, by team and key, and by run.
+    """Finds records by request id, by team and key, and by run.
 
-    Records that have ended are kept for a resume, for ``retain_s`` and
-    at most ``max_ended_bytes`` of them in all: without the second bound
-    a burst of long answers would fill the memory of the host.
+    Ended records are kept for ``retain_s``, so that callers can resume
+    their answers, and use at most ``max_ended_bytes``. Without that
+    limit a burst of long answers could fill the memory of the host.
 
     Parameters
     ----------
     retain_s : float
-        How long a record is kept after its end.
+        How long a record is kept after its end, in seconds.
     max_ended_bytes : int
-        Most memory of ended records; the oldest go first.
+        Maximum memory of ended records; the oldest are dropped first.
     """
 
     __slots__ = (
@@ -62,14 +62,14 @@
         return iter(list(self._by_id.values()))
 
     def add(self, live: live_record.LiveRecord) -> None:
-        """Keep a record; its key names it from now on."""
+        """Add a record, which replaces an older one under its key."""
         record = live.record
         self._by_id[record.request_id] = live
         self._by_key[record.team, record.key] = live
         self._by_run[record.run_id] = live
 
-    def ended(self, live: live_record.LiveRecord, now_s: float) -> None:
-        """Note that a record has ended; it is dropped later."""
+    def note_ended(self, live: live_record.LiveRecord, now_s: float) -> None:
+        """Schedule a record that has ended to be dropped."""
         size = RECORD_BYTES + live.size_bytes
         self._ended.append((now_s + self._retain_s, size, live))
         self.ended_bytes += size
@@ -77,34 +77,34 @@
             self._drop_oldest()
 
     def expire(self, now_s: float) -> None:
-        """Drop records whose time is over."""
+        """Drop ended records that were kept for ``retain_s``."""
         while self._ended and self._ended[0][0] <= now_s:
             self._drop_oldest()
 
     def discard(self, live: live_record.LiveRecord) -> None:
-        """Drop a record."""
+        """Remove a record."""
         record = live.record
         if self._by_id.pop(record.request_id, None) is not None:
             if self.on_discard is not None:
                 self.on_discard(record.request_id)
         self._by_run.pop(record.run_id, None)
-        place = record.team, record.key
-        # The key may name a newer request by now.
-        if self._by_key.get(place) is live:
-            del self._by_key[place]
+        team_key = record.team, record.key
+        # A newer request may use the key by now.
+        if self._by_key.get(team_key) is live:
+            del self._by_key[team_key]
 
     def by_id(
         self, team: str, request_id: str
     ) -> live_record.LiveRecord | None:
-        """Find a team's record; another team's id is not found."""
+        """Return a team's record by its request id, or None."""
         return _of_team(self._by_id.get(request_id), team)
 
     def by_run(self, team: str, run_id: str) -> live_record.LiveRecord | None:
-        """Find a team's record by its run."""
+        """Return a team's record by its run name, or None."""
         return _of_team(self._by_run.get(run_id), team)
 
     def by_key(self, team: str, key: str) -> live_record.LiveRecord | None:
-        """Find a record by idempotency key, inside one team."""
+        """Return a team's record by its idempotency key, or None."""
         return self._by_key.get((team, key))
 
     def _drop_oldest(self) -> None:
--- a/limpetroute/entry/records/stored_reply.py
+++ b/limpetroute/entry/records/stored_reply.py
@@ -1,4 +1,4 @@
-"""The text under which a claim keeps a service's answer."""
+"""Encodes a service's reply as the text that its claim stores."""
 
 import base64
 import json
@@ -11,28 +11,28 @@
 
 
 def encode(reply: service_call.ServiceReply) -> str:
-    """Return the text; a body past the limit is left out."""
+    """Return the text; a body over ``MAX_STORED_BYTES`` is omitted."""
     body = reply.body
-    cut = len(body) > MAX_STORED_BYTES
+    is_too_long = len(body) > MAX_STORED_BYTES
     return json.dumps(
         {
             'type': reply.content_type,
-            'body': '' if cut else base64.b64encode(body).decode(),
-            'cut': cut,
+            'body': '' if is_too_long else base64.b64encode(body).decode(),
+            'cut': is_too_long,
         }
     )
 
 
 def decode(status: int, text: str) -> service_outcome.Answered:
-    """Return the stored answer.
+    """Return the stored reply.
 
     Raises
     ------
     ValueError
-        If the text is not of this form.
+        If the text is not valid JSON or its body is not valid base64.
     """
-    kept = json.loads(text)
-    if kept['cut']:
+    stored = json.loads(text)
+    if stored['cut']:
         note = {'note': 'the answer was too long to be kept'}
         reply = service_call.ServiceReply(
             status=status,
@@ -42,7 +42,7 @@
         return service_outcome.Answered(reply=reply, stored=True)
     reply = service_call.ServiceReply(
         status=status,
-        content_type=kept['type'],
-        body=base64.b64decode(kept['body']),
+        content_type=stored['type'],
+        body=base64.b64decode(stored['body']),
     )
     return service_outcome.Answered(reply=reply, stored=True)
--- a/limpetroute/entry/records/taken_over_run.py
+++ b/limpetroute/entry/records/taken_over_run.py
@@ -1,4 +1,4 @@
-"""Goes on with a run whose entry host is gone."""
+"""Continues a run whose entry host was lost."""
 
 import asyncio
 import logging
@@ -15,31 +15,34 @@
 
 LOG = logging.getLogger(__name__)
 
-Continue = typing.Callable[[int], run_task.RunTask]
+MakeTask = typing.Callable[[int], run_task.RunTask]
 
 
 class TakenOverRun:
-    """Resumes the run at its runner, else continues on another.
+    """Resumes a run at its runner, or starts a new attempt.
 
-    The run goes on at the runner whoever reads it, so its events are
-    read on from the last one copied. If the runner does not have it any
-    more, a new run continues from the prompt and all events so far.
+    The runner continues a run after its entry host was lost, so the
+    events after the last copied one can be read from the runner. If the
+    runner no longer has the run, a new attempt continues from the prompt
+    and the copied events.
 
     Parameters
     ----------
     request : RunRequest
-        What the caller asked for.
+        The caller's request.
     live : LiveRecord
-        The record, with the events that were copied.
+        The record with the copied events.
     context : RunContext
-        What the run works with.
+        Collaborators of the run.
     runner : mapping
-        The try in progress when the owner was lost.
-    go_on : callable
-        Makes the task that continues after that many tries.
+        Runner id, run id and start index (``base``) of the attempt in
+        progress when the owner was lost; empty if there was none.
+    make_task : callable
+        Given the number of earlier attempts, makes the task that
+        continues the request with a new attempt.
     """
 
-    __slots__ = ('_go_on', '_live', '_request', '_runner', '_context')
+    __slots__ = ('_context', '_live', '_make_task', '_request', '_runner')
 
     def __init__(
         self,
@@ -48,25 +51,26 @@
         live: live_record.LiveRecord,
         context: run_context.RunContext,
         runner: typing.Mapping[str, typing.Any],
-        go_on: Continue,
+        make_task: MakeTask,
     ) -> None:
         self._request = request
         self._live = live
         self._context = context
         self._runner = runner
-        self._go_on = go_on
+        self._make_task = make_task
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(live={self._live!r})'
 
     @property
-    def _tries(self) -> int:
+    def _attempts(self) -> int:
+        """Number of the attempt in progress; 0 if there was none."""
         run_id = str(self._runner.get('run_id', ''))
         number = run_id.rpartition('.')[2]
         return int(number) if number.isdigit() else 0
 
     async def run(self) -> None:
-        """Resume, or continue, to the end."""
+        """Resume the run or start a new attempt, until the answer ends."""
         engine = None
         runner_id = self._runner.get('runner_id')
         if runner_id is not None:
@@ -78,33 +82,33 @@
             self._finish_cancelled(engine)
             return
         if engine is not None:
-            self._free(engine)
-        await self._go_on(max(1, self._tries)).run()
+            self._cancel(engine)
+        await self._make_task(max(1, self._attempts)).run()
 
     async def _resume(self, engine: engine_client.EngineClient) -> bool:
         record = self._live.record
-        base = int(self._runner['base'])
+        start_index = int(self._runner['base'])
         self._live.attempt_run_id = str(self._runner['run_id'])
-        self._live.attempt_start_index = base
+        self._live.attempt_start_index = start_index
         self._live.runner_id = str(self._runner['runner_id'])
         if self._context.copy is not None:
             await self._context.copy(self._live)
-        known = len(record.events) - base
-        reader = answer_reader.AnswerReader(append=self._append, first=known)
-        got = await reader.read(
+        copied = len(record.events) - start_index
+        reader = answer_reader.AnswerReader(append=self._append, first=copied)
+        result = await reader.read(
             engine.resume(
                 str(self._runner['run_id']),
-                after_index=known - 1,
+                after_index=copied - 1,
                 token_timeout_s=self._context.settings.token_timeout_s,
             )
         )
-        if isinstance(got, engine_call.EndEvent):
-            self._complete(got.finish_reason)
+        if isinstance(result, engine_call.EndEvent):
+            self._complete(result.finish_reason)
             return True
         if len(record.events) >= self._request.max_tokens:
             self._complete('length')
             return True
-        LOG.info('%s is not resumable: %s', record.run_id, got)
+        LOG.info('%s is not resumable: %s', record.run_id, result)
         return False
 
     def _append(self, text: str) -> None:
@@ -124,7 +128,7 @@
         self, engine: engine_client.EngineClient | None
     ) -> None:
         if engine is not None and not self._live.handed_over:
-            self._free(engine)
+            self._cancel(engine)
         self._live.finish(
             run_end.RunEnd(
                 kind=run_end.EndKind.CANCELLED,
@@ -133,7 +137,7 @@
             )
         )
 
-    def _free(self, engine: engine_client.EngineClient) -> None:
+    def _cancel(self, engine: engine_client.EngineClient) -> None:
         self._context.canceller.cancel(
             run_id=str(self._runner['run_id']),
             engine=engine,
@@ -142,4 +146,4 @@
 
 
 def _ignore(confirmed: bool) -> None:
-    """Take no note: the reaper ends what could not be ended here."""
+    """Ignore a failed cancel; the reaper ends runs that remain."""
--- a/limpetroute/entry/runs/__init__.py
+++ b/limpetroute/entry/runs/__init__.py
@@ -1,1 +1,1 @@
-"""Runs: from a scheduled request to its last token."""
+"""Running requests: placement, prefill, transfer and decode."""
--- a/limpetroute/entry/runs/answer_reader.py
+++ b/limpetroute/entry/runs/answer_reader.py
@@ -1,4 +1,4 @@
-"""Puts the events of one try into the record, in order."""
+"""Reads the decode events of one attempt in order."""
 
 import contextlib
 import typing
@@ -6,7 +6,7 @@
 from limpetroute.runners import engine_call
 from limpetroute.runners import engine_failure
 
-MAX_AHEAD = 256
+MAX_BUFFERED_EVENTS = 256
 
 Events = typing.AsyncIterator[
     engine_call.DecodeEvent | engine_failure.EngineFailure
@@ -14,28 +14,28 @@
 
 
 class AnswerReader:
-    """Drops what came before and holds back what came too early.
+    """Delivers the events of a decode stream once each and in order.
 
-    Engine events may arrive late, twice or out of order. The next word
-    is the one whose index follows the last; an earlier index is here
-    already, a later one waits for the gap to fill.
+    An engine's events may arrive late, twice or out of order. The
+    reader drops an event whose index was delivered before, and buffers
+    an event whose index is too high until the missing ones arrive.
 
     Parameters
     ----------
     append : callable
-        Takes each event's text, in order and once.
+        Called with each event's text, once and in order.
     first : int
-        Index, at the engine, of the first event that is not here yet.
+        Engine's index of the first event to deliver.
     """
 
-    __slots__ = ('_ahead', '_append', '_next', '_end')
+    __slots__ = ('_append', '_buffered', '_end', '_next_index')
 
     def __init__(
         self, *, append: typing.Callable[[str], None], first: int = 0
     ) -> None:
         self._append = append
-        self._next = first
-        self._ahead: dict[int, str] = {}
+        self._next_index = first
+        self._buffered: dict[int, str] = {}
         self._end: engine_call.EndEvent | None = None
 
     def __repr__(self) -> str:
@@ -43,18 +43,18 @@
 
     @property
     def last_index(self) -> int:
-        """Index, at the engine, of the last event taken; -1 for none."""
-        return self._next - 1
+        """Engine's index of the last delivered event; -1 for none."""
+        return self._next_index - 1
 
     async def read(
         self, events: Events
     ) -> engine_call.EndEvent | engine_failure.EngineFailure:
-        """Take events until the answer is whole or the stream fails."""
-        closing = typing.cast(typing.AsyncGenerator[typing.Any, None], events)
-        async with contextlib.aclosing(closing):
+        """Read events until the answer is complete or the stream fails."""
+        stream = typing.cast(typing.AsyncGenerator[typing.Any, None], events)
+        async with contextlib.aclosing(stream):
             async for event in events:
                 if isinstance(event, engine_call.TokenEvent):
-                    if not self._take(event):
+                    if not self._add(event):
                         return engine_failure.Failed(
                             reason='gap', sent=True, resumable=True
                         )
@@ -62,30 +62,32 @@
                     self._end = event
                 else:
                     return event
-                if self._is_whole():
+                if self._is_complete():
                     assert self._end is not None
                     return self._end
         return engine_failure.Failed(
             reason='stream closed', sent=True, resumable=True
         )
 
-    def _take(self, event: engine_call.TokenEvent) -> bool:
-        if event.index > self._next:
-            self._ahead[event.index] = event.text
-            return len(self._ahead) <= MAX_AHEAD
-        if event.index < self._next:
+    def _add(self, event: engine_call.TokenEvent) -> bool:
+        """Deliver or buffer an event; return False if too many wait."""
+        if event.index > self._next_index:
+            self._buffered[event.index] = event.text
+            return len(self._buffered) <= MAX_BUFFERED_EVENTS
+        if event.index < self._next_index:
             return True
         self._append(event.text)
-        self._next += 1
-        while self._ahead:
-            text = self._ahead.pop(self._next, None)
+        self._next_index += 1
+        while self._buffered:
+            text = self._buffered.pop(self._next_index, None)
             if text is None:
                 break
             self._append(text)
-            self._next += 1
+            self._next_index += 1
         return True
 
-    def _is_whole(self) -> bool:
-        # An end that overtook the last words does not cut them off.
+    def _is_complete(self) -> bool:
+        # The end event may arrive before the last tokens, so the answer
+        # is complete only once all its tokens have been delivered.
         end = self._end
-        return end is not None and self._next >= end.completion_tokens
+        return end is not None and self._next_index >= end.completion_tokens
--- a/limpetroute/entry/runs/attempt_resources.py
+++ b/limpetroute/entry/runs/attempt_resources.py
@@ -1,4 +1,4 @@
-"""What a request holds at runners and at their lease holders."""
+"""Runner memory and grants that a request's attempt holds."""
 
 import functools
 import time
@@ -11,17 +11,17 @@
 
 
 class AttemptResources:
-    """Keeps the newest attempt, and frees what the one before held.
+    """Tracks the newest attempt and frees the resources of each attempt.
 
     Parameters
     ----------
     live : LiveRecord
         The request's record.
     context : RunContext
-        What frees.
+        Source of the grants and of the canceller.
     """
 
-    __slots__ = ('_live', '_context', 'attempt')
+    __slots__ = ('_context', '_live', 'attempt')
 
     def __init__(
         self, *, live: live_record.LiveRecord, context: run_context.RunContext
@@ -34,33 +34,34 @@
         return f'{type(self).__name__}(attempt={self.attempt!r})'
 
     def start(self, attempt: attempt_module.Attempt) -> attempt_module.Attempt:
-        """Take a new attempt, and free the one before."""
+        """Free the previous attempt and set the new one."""
         self.free()
         self.attempt = attempt
         self._live.attempt_run_id = attempt.run_id
-        self._live.attempt_start_index = attempt.base
+        self._live.attempt_start_index = attempt.start_index
         return attempt
 
-    def touch(
+    def note_sent(
         self, runner_id: str, engine: engine_client.EngineClient
     ) -> None:
-        """Note that the runner may hold something from now on."""
+        """Note that the runner may hold memory of the attempt."""
         if self.attempt is not None:
-            self.attempt.touched[runner_id] = engine
+            self.attempt.contacted[runner_id] = engine
 
-    def untouch(self, runner_id: str) -> None:
-        """Note that the runner provably holds nothing."""
+    def note_not_run(self, runner_id: str) -> None:
+        """Note that the runner holds no memory of the attempt."""
         if self.attempt is not None:
-            self.attempt.touched.pop(runner_id, None)
+            self.attempt.contacted.pop(runner_id, None)
 
     async def acquire(self, runner_id: str, kv_bytes: int) -> int | None:
-        """Get room at a runner, unless it is held already.
+        """Acquire a grant for a runner unless the attempt has one.
 
         Returns
         -------
         int or None
-            The runner's free slots if there is no room; None if there
-            is.
+            None if the attempt has the grant; else the number of the
+            runner's free slots, as counted by the grantor that denied
+            it.
         """
         attempt = self.attempt
         assert attempt is not None
@@ -75,7 +76,7 @@
         return None
 
     def release(self) -> None:
-        """Give room back after an end that the runner itself told."""
+        """Release the grants after the runner reported the run's end."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
@@ -83,22 +84,25 @@
             self._release(runner_id, attempt.run_id)
 
     def free(self) -> None:
-        """Free memory at every runner that the attempt has touched."""
+        """Cancel the attempt at its runners and release its grants."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
         self._count_waste(attempt)
-        for runner_id, engine in attempt.touched.items():
+        for runner_id, engine in attempt.contacted.items():
             self._free(attempt, runner_id, engine)
         for runner_id in attempt.fences:
-            if runner_id not in attempt.touched:
+            if runner_id not in attempt.contacted:
                 self._release(runner_id, attempt.run_id)
 
     def free_one(self, runner_id: str) -> None:
-        """Free memory at one runner; the attempt goes on elsewhere."""
+        """Cancel the attempt at one runner and release its grant.
+
+        The attempt stays the newest and keeps its other runners.
+        """
         attempt = self.attempt
         assert attempt is not None
-        engine = attempt.touched.pop(runner_id, None)
+        engine = attempt.contacted.pop(runner_id, None)
         if engine is not None:
             self._free(attempt, runner_id, engine)
         elif runner_id in attempt.fences:
@@ -111,8 +115,8 @@
         runner_id: str,
         engine: engine_client.EngineClient,
     ) -> None:
-        # Room is given back only once the runner holds nothing: given
-        # back before, the slot would be granted twice.
+        # The grant is released only after the cancel has ended. Released
+        # earlier, the slot could be granted again while still in use.
         self._context.canceller.cancel(
             run_id=attempt.run_id,
             engine=engine,
@@ -146,7 +150,7 @@
         result = attempt.result
         if result is None:
             return
-        if len(self._live.record.events) > attempt.base:
+        if len(self._live.record.events) > attempt.start_index:
             return
         self._context.meters.wasted_prefill(
             max(0, result.prompt_tokens - result.cached_tokens)
--- a/limpetroute/entry/runs/decision_recorder.py
+++ b/limpetroute/entry/runs/decision_recorder.py
@@ -1,4 +1,4 @@
-"""Records the decisions of a host where its settings ask for it."""
+"""Records a host's routing decisions if its settings say so."""
 
 from limpetroute.border import entry_settings
 from limpetroute.decisions import router
@@ -7,24 +7,24 @@
 
 
 class DecisionRecorder:
-    """Owns the trace of one host, if there is one.
+    """Owns the trace file of one host, if recording is on.
 
     Parameters
     ----------
     settings : EntrySettings
-        Says whether and where.
+        Settings of the host; ``record_trace`` names the file.
     """
 
     __slots__ = ('_writer',)
 
     def __init__(self, *, settings: entry_settings.EntrySettings) -> None:
         self._writer: trace_writer.TraceWriter | None = None
-        wanted = settings.record_trace
-        if wanted is None:
+        record_settings = settings.record_trace
+        if record_settings is None:
             return
         self._writer = trace_writer.TraceWriter(
-            path=wanted.file,
-            max_bytes=wanted.max_bytes,
+            path=record_settings.file,
+            max_bytes=record_settings.max_bytes,
             story=f'Recorded by {settings.host_id} in {settings.zone}.',
         )
 
@@ -32,7 +32,7 @@
         return f'{type(self).__name__}(writer={self._writer!r})'
 
     def wrap(self, policy: router.Router, name: str) -> router.Router:
-        """Return the router to use: the one given, recorded or not."""
+        """Return the router, wrapped in a recorder if recording is on."""
         if self._writer is None:
             return policy
         return recording_router.RecordingRouter(
@@ -40,6 +40,6 @@
         )
 
     def close(self) -> None:
-        """End the trace."""
+        """Close the trace file."""
         if self._writer is not None:
             self._writer.close()
--- a/limpetroute/entry/runs/decode_stream.py
+++ b/limpetroute/entry/runs/decode_stream.py
@@ -1,4 +1,4 @@
-"""Reads one decode into the record, across broken streams."""
+"""Reads a decode into the record and resumes broken streams."""
 
 import asyncio
 
@@ -10,30 +10,31 @@
 from limpetroute.runners import engine_failure
 
 MAX_RESUMES = 2
-RESUME_PAUSE_S = 0.05
+RESUME_DELAY_S = 0.05
 
 
 class DecodeStream:
-    """Starts a decode, and resumes the same run if its stream breaks.
+    """Starts a decode and resumes the same run if its stream breaks.
 
-    A run whose stream broke goes on at the engine: asking it for the
-    rest keeps the one sampling, and costs no second prefill.
+    The engine continues a run after its stream has broken. Resuming the
+    run keeps the tokens that the engine sampled and needs no second
+    prefill.
 
     Parameters
     ----------
     call : DecodeCall
-        The order.
+        The call that starts the decode.
     engine : EngineClient
-        The decode runner.
+        Client of the decode runner.
     live : LiveRecord
-        Where the events go.
+        Record to which the events are appended.
     max_events : int
-        Most events of the whole answer.
+        Largest number of events in the whole answer.
     context : RunContext
-        Time limits, counts and the router.
+        Time limits, metrics and the scheduler.
     """
 
-    __slots__ = ('_call', '_engine', '_live', '_max_events', '_context')
+    __slots__ = ('_call', '_context', '_engine', '_live', '_max_events')
 
     def __init__(
         self,
@@ -56,25 +57,34 @@
     async def run(
         self,
     ) -> engine_call.EndEvent | engine_failure.EngineFailure:
-        """Read to the end, or until the run is lost."""
+        """Read the answer to its end.
+
+        Gives up after ``MAX_RESUMES`` resumed streams in a row without
+        a new event, or at a failure that cannot be resumed.
+
+        Returns
+        -------
+        EndEvent or EngineFailure
+            The end of the answer, or the last failure.
+        """
         reader = answer_reader.AnswerReader(append=self._append)
-        got = await reader.read(self._events(reader.last_index))
-        tries = 0
-        while isinstance(got, engine_failure.Failed) and got.resumable:
-            if tries == MAX_RESUMES:
+        result = await reader.read(self._events(reader.last_index))
+        resumes = 0
+        while isinstance(result, engine_failure.Failed) and result.resumable:
+            if resumes == MAX_RESUMES:
                 break
-            before = reader.last_index
+            last_index = reader.last_index
             self._context.meters.retried('resume')
-            await asyncio.sleep(RESUME_PAUSE_S)
-            got = await reader.read(self._events(before))
-            tries = 0 if reader.last_index > before else tries + 1
-        return got
+            await asyncio.sleep(RESUME_DELAY_S)
+            result = await reader.read(self._events(last_index))
+            resumes = 0 if reader.last_index > last_index else resumes + 1
+        return result
 
     def _events(self, last_index: int) -> answer_reader.Events:
         timeout_s = self._context.settings.token_timeout_s
         if last_index < 0:
-            # The order itself may have been lost; a second one for the
-            # same run id starts nothing twice.
+            # The call that starts the decode may have been lost. The
+            # engine starts a run id only once, so it can be repeated.
             return self._engine.decode(self._call, token_timeout_s=timeout_s)
         return self._engine.resume(
             self._call.run_id,
--- a/limpetroute/entry/runs/latency_targets.py
+++ b/limpetroute/entry/runs/latency_targets.py
@@ -1,4 +1,4 @@
-"""Whether an answer met its latency targets."""
+"""Latency targets of answers and whether an answer met them."""
 
 import dataclasses
 
@@ -11,23 +11,29 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LatencyTargets:
-    """Targets that goodput is counted against.
+    """Targets that an answer must meet to count as goodput.
 
     Parameters
     ----------
     first_token_s : float
-        Longest time to the first token.
+        Longest time to the first token, in seconds.
     token_gap_s : float
-        Longest mean time between tokens.
+        Longest mean time between tokens, in seconds.
     """
 
     first_token_s: float
     token_gap_s: float
 
-    def judge(
+    def measure(
         self, live: live_record.LiveRecord, meters: meters_module.Meters
     ) -> bool:
-        """Count an ended request's times; return whether they are met."""
+        """Record an ended request's latencies in the metrics.
+
+        Returns
+        -------
+        bool
+            Whether the request completed within both targets.
+        """
         end = live.record.end
         if end is None or end.kind is not run_end.EndKind.COMPLETED:
             return False
@@ -41,11 +47,11 @@
         return first_s <= self.first_token_s and gap_s <= self.token_gap_s
 
 
-def in_force(
+def current(
     manifest: manifest_module.ManifestBody | None,
     settings: entry_settings.EntrySettings,
 ) -> LatencyTargets:
-    """Return the manifest's targets, or the settings' before the first."""
+    """Return the manifest's targets, or the settings' without one."""
     source = settings if manifest is None else manifest.targets
     return LatencyTargets(
         first_token_s=source.first_token_s, token_gap_s=source.token_gap_s
--- a/limpetroute/entry/runs/recording_router.py
+++ b/limpetroute/entry/runs/recording_router.py
@@ -1,4 +1,4 @@
-"""A router that writes down all it is told and all it decides."""
+"""A router that records its inputs and decisions in a trace."""
 
 import typing
 
@@ -14,16 +14,16 @@
 
 
 class RecordingRouter:
-    """Passes everything on to a router and writes a trace of it.
+    """Forwards each call to a router and writes it to a trace.
 
     Parameters
     ----------
     policy : Router
-        Decides.
+        The wrapped router, which makes the decisions.
     writer : TraceWriter
-        Takes the trace.
+        Writes the trace.
     policy_name : str
-        Name under which a replay makes the same router.
+        Name by which a replay creates the same router.
     """
 
     __slots__ = ('_policy', '_writer')
@@ -147,11 +147,11 @@
         self._policy.on_end(work_id, how, now_s)
 
     def actions(self, now_s: float) -> list[action.Action]:
-        """Pass on, and record what was decided."""
-        found = self._policy.actions(now_s)
-        self._writer.write_outcome(now_s, 'actions', plain.plain(found))
-        return found
+        """Return the router's actions and record them."""
+        actions = self._policy.actions(now_s)
+        self._writer.write_outcome(now_s, 'actions', plain.plain(actions))
+        return actions
 
     def wake_s(self) -> float | None:
-        """Pass on."""
+        """Return when the router wants to run next; not recorded."""
         return self._policy.wake_s()
--- a/limpetroute/entry/runs/retry_budget.py
+++ b/limpetroute/entry/runs/retry_budget.py
@@ -1,34 +1,35 @@
-"""How many second tries the calls of a pool may have."""
+"""Limits retries to a share of first tries."""
 
-SHARE = 0.1
-MOST = 10.0
+RETRY_SHARE = 0.1
+MAX_RETRIES = 10.0
 
 
 class RetryBudget:
-    """Allows second tries as a share of fresh calls.
-
-    Pattern of load: every runner of a service fails at once. Without a
-    budget each call is sent three times and the service, coming back,
-    meets three times its load. A tenth of fresh traffic heals single
-    failures and adds at most that to an overload; ``MOST`` lets a quiet
-    service retry at all.
+    """Allows retries as a share of first tries.
+
+    Without a budget, when all runners of a service fail at once, each
+    call is sent three times, and the service meets three times its load
+    when it comes back. A tenth of the first tries is enough to retry
+    single failures and adds at most a tenth to an overload. The budget
+    starts with ``MAX_RETRIES``, so that a service with little traffic
+    can retry too.
     """
 
-    __slots__ = ('_left',)
+    __slots__ = ('_available',)
 
     def __init__(self) -> None:
-        self._left = MOST
+        self._available = MAX_RETRIES
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(left={self._left!r})'
+        return f'{type(self).__name__}(available={self._available!r})'
 
     def note_first_try(self) -> None:
-        """Note a first try."""
-        self._left = min(MOST, self._left + SHARE)
+        """Add a first try's share of a retry to the budget."""
+        self._available = min(MAX_RETRIES, self._available + RETRY_SHARE)
 
     def take(self) -> bool:
-        """Take one second try; return whether there was one left."""
-        if self._left < 1.0:
+        """Take one retry from the budget; return whether it had one."""
+        if self._available < 1.0:
             return False
-        self._left -= 1.0
+        self._available -= 1.0
         return True
--- a/limpetroute/entry/runs/run_canceller.py
+++ b/limpetroute/entry/runs/run_canceller.py
@@ -1,4 +1,4 @@
-"""Ends runs at runners, though the call that does it may fail."""
+"""Cancels runs at runners and repeats cancel calls that fail."""
 
 import asyncio
 import logging
@@ -10,18 +10,18 @@
 
 CANCEL_TIMEOUT_S = 2.0
 MAX_TRIES = 8
-FIRST_PAUSE_S = 0.05
-MAX_PAUSE_S = 2.0
+FIRST_DELAY_S = 0.05
+MAX_DELAY_S = 2.0
 
 
 class RunCanceller:
-    """Owns the cancel calls, so that none is lost with its request.
+    """Owns the cancel calls, which outlive their requests' tasks.
 
-    A cancel that belonged to the request's own task would die with it,
-    and one that fails once would leave a slot and its KV memory held
-    until somebody looked. Each is repeated here until the runner
-    confirms it or ``MAX_TRIES`` have failed; a runner that cannot be
-    reached for that long has its streams ended by the reaper.
+    A cancel call in the request's own task would end with that task. A
+    cancel call that failed and was not repeated would leave a slot and
+    its KV memory in use on the runner. So each call is repeated until
+    the runner confirms it or ``MAX_TRIES`` calls have failed. The reaper
+    ends what then remains on a runner that could not be reached.
     """
 
     __slots__ = ('_tasks', 'gave_up')
@@ -35,7 +35,7 @@
 
     @property
     def pending(self) -> int:
-        """Runs that no runner has confirmed as ended yet."""
+        """Number of cancels that no runner has confirmed yet."""
         return len(self._tasks)
 
     def cancel(
@@ -45,18 +45,18 @@
         engine: engine_client.EngineClient,
         on_end: typing.Callable[[bool], None],
     ) -> None:
-        """End a run at one runner, in the background.
+        """Cancel a run at one runner in the background.
 
         Parameters
         ----------
         run_id : str
-            Name of the run at the runner.
+            Run id of the attempt.
         engine : EngineClient
             Client of the runner.
         on_end : callable
-            Called once with whether the runner confirmed.
+            Called once with whether the runner confirmed the cancel.
         """
-        task = asyncio.create_task(self._free(run_id, engine))
+        task = asyncio.create_task(self._cancel(run_id, engine))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(
@@ -64,19 +64,19 @@
         )
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait for the cancels in progress."""
+        """Wait up to ``timeout_s`` for the cancels in progress."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_s)
 
-    async def _free(
+    async def _cancel(
         self, run_id: str, engine: engine_client.EngineClient
     ) -> bool:
-        pause_s = FIRST_PAUSE_S
+        delay_s = FIRST_DELAY_S
         for _ in range(MAX_TRIES):
             if await engine.cancel(run_id, timeout_s=CANCEL_TIMEOUT_S):
                 return True
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, MAX_PAUSE_S)
+            await asyncio.sleep(delay_s)
+            delay_s = min(2 * delay_s, MAX_DELAY_S)
         self.gave_up += 1
         LOG.warning('%s was not freed at %s', run_id, engine.url)
         return False
--- a/limpetroute/entry/runs/run_context.py
+++ b/limpetroute/entry/runs/run_context.py
@@ -1,4 +1,4 @@
-"""What every run works with."""
+"""Collaborators that every run uses."""
 
 import dataclasses
 import typing
@@ -12,31 +12,32 @@
 from limpetroute.telemetry import hops as hops_module
 from limpetroute.telemetry import meters as meters_module
 
-Copy = typing.Callable[[live_record.LiveRecord], typing.Awaitable[None]]
+CopyRecord = typing.Callable[[live_record.LiveRecord], typing.Awaitable[None]]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunContext:
-    """The shared parts of the process that a run uses.
+    """The shared objects of the process that a run uses.
 
     Parameters
     ----------
     scheduler : Scheduler
-        Decides what happens next.
+        Passes events to the router and its actions to the run.
     engines : EnginePool
         Clients of the runners.
     grants : GrantSource
-        Room at the runners.
+        Grants slots and KV memory of runners.
     canceller : RunCanceller
-        Ends runs at runners.
+        Cancels runs at runners.
     meters : Meters
-        Counts.
+        Metrics.
     hops : Hops
-        Makes the spans.
+        Creates the trace spans.
     settings : EntrySettings
-        Time limits.
+        Settings with the time limits.
     copy : callable or None
-        Copies a record to another host; the first event waits for it.
+        Copies a record to another host. No event of an answer is
+        delivered before the copy has arrived.
     """
 
     scheduler: scheduler_module.Scheduler
@@ -46,4 +47,4 @@
     meters: meters_module.Meters
     hops: hops_module.Hops
     settings: entry_settings.EntrySettings
-    copy: Copy | None = None
+    copy: CopyRecord | None = None
--- a/limpetroute/entry/runs/run_request.py
+++ b/limpetroute/entry/runs/run_request.py
@@ -1,4 +1,4 @@
-"""A validated request on its way through the entry process."""
+"""A caller's request after validation."""
 
 import dataclasses
 import typing
@@ -8,32 +8,32 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunRequest:
-    """What a caller asked for.
+    """A caller's validated request for an answer.
 
     Parameters
     ----------
     request_id : str
-        Name told to the caller.
+        Id returned to the caller.
     team : str
         The caller's team.
     key : str
-        Idempotency key; the request id where none was given.
+        Idempotency key; the request id if the caller gave no key.
     body_digest : str
-        Digest of the body.
+        Digest of the request body.
     model : str
-        Model that is to answer.
+        Name of the model.
     prompt : str
         The whole prompt.
     max_tokens : int
-        Most tokens of the answer.
+        Maximum number of tokens of the answer.
     chat : bool
-        Whether the chat shape is wanted.
+        Whether the answer has the chat format.
     include_usage : bool
-        Whether a streamed answer ends with its usage.
+        Whether a streamed answer ends with its token usage.
     returning : bool
-        Whether the caller says that it was told to come back.
+        Whether the client library marked the request as a retry.
     options : mapping
-        Fields of the body that only the engine understands.
+        Fields of the body that are passed to the engine as they are.
     """
 
     request_id: str
@@ -52,12 +52,12 @@
 
 
 def from_copy(facts: record_copy.RecordFacts) -> RunRequest:
-    """Return the request that a record's copy carries.
+    """Return the request stored in a record's copy.
 
     Raises
     ------
     TypeError
-        If the copy lacks a field.
+        If the copy lacks a required field.
     """
     fields = {item.name for item in dataclasses.fields(RunRequest)}
     known = {
--- a/limpetroute/entry/runs/run_task.py
+++ b/limpetroute/entry/runs/run_task.py
@@ -1,4 +1,4 @@
-"""Takes one request from the queue to the end of its answer."""
+"""Runs one request from the queue to the end of its answer."""
 
 import asyncio
 import contextlib
@@ -27,37 +27,42 @@
 INTERNAL_RETRY_AFTER_S = 1.0
 RESUME_ELSEWHERE = 'draining_resume_elsewhere'
 TAKEN_OVER = 'taken_over'
-ELSEWHERE = frozenset({RESUME_ELSEWHERE, TAKEN_OVER})
+# Reasons to cancel a run here that another host may continue.
+CONTINUED_ELSEWHERE = frozenset({RESUME_ELSEWHERE, TAKEN_OVER})
 FAILURES = (engine_failure.Failed, engine_failure.Refused)
 _Result = typing.TypeVar('_Result')
 
 
 class RunTask:
-    """One request: prefill, transfer, decode, and again if one fails.
+    """Prefills, transfers and decodes one request; repeats failed steps.
+
+    The router chooses the steps and their runners; the task carries
+    them out and reports their results to the router.
 
     Parameters
     ----------
     request : RunRequest
-        What the caller asked for.
+        The caller's request.
     item : Work
-        The same, as the router sees it.
+        The request as the router sees it.
     live : LiveRecord
-        Where the answer goes.
+        Record to which the answer is appended.
     context : RunContext
-        What the run works with.
+        Collaborators of the run.
     tries : int
-        Tries that another host made before; their names are taken.
+        Number of attempts that another host made before. Their run ids
+        are in use.
     """
 
     __slots__ = (
+        '_attempts',
+        '_context',
         '_guard',
-        '_handed_on',
-        '_resources',
         '_item',
         '_live',
         '_request',
-        '_context',
-        '_tries',
+        '_resources',
+        '_step_reported',
     )
 
     def __init__(
@@ -77,18 +82,19 @@
         self._resources = attempt_resources.AttemptResources(
             live=live, context=context
         )
-        self._handed_on = False
-        self._tries = tries
+        self._step_reported = False
+        self._attempts = tries
         if tries:
-            # Another host has sent it before: what that host's guard
-            # knew is lost, so nothing can prove that it did not run.
+            # Another host has sent the request before, and the state of
+            # that host's guard is lost. So nothing can prove that the
+            # request did not run.
             self._guard.mark_sending()
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(work_id={self._item.work_id!r})'
 
     async def run(self) -> None:
-        """Carry the router's actions out until the request is over."""
+        """Carry out the router's actions until the request has ended."""
         with self._context.hops.hop(
             'entry',
             request_id=self._item.work_id,
@@ -103,10 +109,10 @@
     async def _run(self) -> None:
         inbox = self._context.scheduler.offer(self._item)
         try:
-            await self._work(inbox)
+            await self._run_actions(inbox)
         except asyncio.CancelledError:
             self._finish(self._cancelled())
-        except Exception:  # noqa: BLE001 - a fault of ours must end the run
+        except Exception:  # noqa: BLE001 - an internal error ends the run
             LOG.exception('run %s broke', self._live.record.run_id)
             self._finish(
                 outcome.given_up(
@@ -118,10 +124,11 @@
 
     def _cancelled(self) -> outcome.Outcome:
         reason = self._live.cancel_reason
-        if reason not in ELSEWHERE:
+        if reason not in CONTINUED_ELSEWHERE:
             return outcome.Cancelled(reason=reason)
         if self._live.handed_over:
-            # Another host goes on with it, also if it was only queued.
+            # Another host continues the request, even if this host had
+            # only queued it. So the request may still run.
             return outcome.Unknown(
                 reason=reason, retry_after_s=INTERNAL_RETRY_AFTER_S
             )
@@ -142,55 +149,58 @@
             return
         self._resources.free()
 
-    async def _work(self, inbox: 'asyncio.Queue[action.Action]') -> None:
-        """Run one step at a time, and drop it when the router says so."""
+    async def _run_actions(
+        self, inbox: 'asyncio.Queue[action.Action]'
+    ) -> None:
+        """Run one step at a time; a new action replaces the step."""
         step: asyncio.Task[None] | None = None
-        queue = hops.RepeatedHop(hops=self._context.hops, name='queue')
-        queue.begin()
-        next_one = asyncio.ensure_future(inbox.get())
+        queue_hop = hops.RepeatedHop(hops=self._context.hops, name='queue')
+        queue_hop.begin()
+        next_action = asyncio.ensure_future(inbox.get())
         try:
             while self._live.record.end is None:
-                waiting: list[asyncio.Future[typing.Any]] = [next_one]
+                waiting: list[asyncio.Future[typing.Any]] = [next_action]
                 if step is not None:
                     waiting.append(step)
                 await asyncio.wait(
                     waiting, return_when=asyncio.FIRST_COMPLETED
                 )
-                if not next_one.done():
+                if not next_action.done():
                     assert step is not None
                     step.result()
                     step = None
                     if self._live.record.end is None:
-                        queue.begin()
+                        queue_hop.begin()
                     continue
-                queue.end()
-                todo = next_one.result()
-                next_one = asyncio.ensure_future(inbox.get())
+                queue_hop.end()
+                todo = next_action.result()
+                next_action = asyncio.ensure_future(inbox.get())
                 if step is not None:
-                    await self._settle(step)
+                    await self._finish_step(step)
                     step = None
                 if isinstance(todo, action.GiveUp):
                     self._give_up(todo)
                     continue
-                self._handed_on = False
+                self._step_reported = False
                 step = asyncio.create_task(self._step(todo))
         finally:
-            queue.end()
-            next_one.cancel()
+            queue_hop.end()
+            next_action.cancel()
             if step is not None:
-                await _end(step)
+                await _cancel_step(step)
 
-    async def _settle(self, step: 'asyncio.Task[None]') -> None:
-        """Let a step finish that handed on, and drop one that did not.
+    async def _finish_step(self, step: 'asyncio.Task[None]') -> None:
+        """Wait for a step that has reported its result, or cancel it.
 
-        The router decides anew for a request in progress when its
-        runner went silent: waiting for the call to time out would cost
-        the caller the whole time limit.
+        The router chooses a new step for a request whose runner has
+        become unresponsive while the old step still waits for that
+        runner. Waiting for the old call to time out would delay the
+        caller by the whole time limit.
         """
-        if self._handed_on:
+        if self._step_reported:
             await step
             return
-        await _end(step)
+        await _cancel_step(step)
 
     async def _step(
         self, todo: action.StartPrefill | action.StartDecode
@@ -201,7 +211,7 @@
         await self._decode(todo)
 
     async def _prefill(self, todo: action.StartPrefill) -> None:
-        if self._is_whole():
+        if self._is_complete():
             self._complete('length', 0)
             return
         self._live.stage = stage.Stage.PREFILL
@@ -213,8 +223,8 @@
         if todo.decode_runner_id is not None:
             if not await self._grant(todo.decode_runner_id, todo.kv_bytes):
                 return
-        self._send(todo.runner_id, engine)
-        got = await self._in_hop(
+        self._note_sending(todo.runner_id, engine)
+        result = await self._in_hop(
             'prefill',
             todo.runner_id,
             engine.prefill(
@@ -229,16 +239,16 @@
                 timeout_s=self._context.settings.prefill_timeout_s,
             ),
         )
-        if not isinstance(got, engine_call.PrefillResult):
-            self._note(got, todo.runner_id)
+        if not isinstance(result, engine_call.PrefillResult):
+            self._note_failure(result, todo.runner_id)
             self._resources.free()
             self._failed(stage.Stage.PREFILL, todo.runner_id)
             return
         attempt.source = engine
-        attempt.result = got
-        self._handed_on = True
+        attempt.result = result
+        self._step_reported = True
         self._context.scheduler.prefill_done(
-            self._item.work_id, got.cached_tokens
+            self._item.work_id, result.cached_tokens
         )
 
     async def _decode(self, todo: action.StartDecode) -> None:
@@ -261,8 +271,8 @@
             return
         self._live.runner_id = todo.runner_id
         copying = asyncio.ensure_future(self._copy())
-        self._send(todo.runner_id, engine)
-        moved = await self._in_hop(
+        self._note_sending(todo.runner_id, engine)
+        imported = await self._in_hop(
             'transfer',
             todo.runner_id,
             engine.import_kv(
@@ -275,18 +285,19 @@
                 timeout_s=self._transfer_timeout_s(todo),
             ),
         )
-        if not isinstance(moved, int):
-            LOG.debug('transfer of %s failed: %s', attempt.run_id, moved)
-            self._note(moved, todo.runner_id)
+        if not isinstance(imported, int):
+            LOG.debug('transfer of %s failed: %s', attempt.run_id, imported)
+            self._note_failure(imported, todo.runner_id)
             self._resources.free_one(todo.runner_id)
             self._transfer_failed(todo.runner_id)
             return
         self._context.scheduler.transfer_done(self._item.work_id)
-        # The copy goes out beside the transfer. No event may reach the
-        # caller before it is there: with this host the answer, and the
-        # run that its ids name, would be lost.
+        # The record is copied to another host during the transfer. No
+        # event may reach the caller before the copy has arrived: if this
+        # host were lost, no host could resume the answer from the run
+        # id in the caller's event ids.
         await copying
-        await self._answer(engine, todo.runner_id, attempt, result)
+        await self._run_decode(engine, todo.runner_id, attempt, result)
 
     def _transfer_timeout_s(self, todo: action.StartDecode) -> float:
         limit_s = self._context.settings.transfer_timeout_s
@@ -298,7 +309,7 @@
         if self._context.copy is not None:
             await self._context.copy(self._live)
 
-    async def _answer(
+    async def _run_decode(
         self,
         engine: engine_client.EngineClient,
         runner_id: str,
@@ -310,7 +321,7 @@
         call = engine_call.DecodeCall(
             run_id=attempt.run_id,
             model=self._request.model,
-            max_tokens=self._request.max_tokens - attempt.base,
+            max_tokens=self._request.max_tokens - attempt.start_index,
             priority=0,
             fence=attempt.fences.get(runner_id, 0),
             options=self._request.options,
@@ -323,15 +334,15 @@
             context=self._context,
         )
         self._guard.mark_sending()
-        got = await self._in_hop('decode', runner_id, stream.run())
-        if isinstance(got, engine_call.EndEvent):
-            self._complete(got.finish_reason, result.prompt_tokens)
+        end = await self._in_hop('decode', runner_id, stream.run())
+        if isinstance(end, engine_call.EndEvent):
+            self._complete(end.finish_reason, result.prompt_tokens)
             return
-        if self._is_whole():
-            # Every word came and only the end was lost with the stream.
+        if self._is_complete():
+            # All tokens arrived; only the end event was lost.
             self._complete('length', result.prompt_tokens)
             return
-        LOG.debug('decode of %s failed: %s', attempt.run_id, got)
+        LOG.debug('decode of %s failed: %s', attempt.run_id, end)
         self._resources.free()
         self._failed(stage.Stage.DECODE, runner_id)
 
@@ -343,60 +354,62 @@
     ) -> _Result:
         """Await a call to a runner inside a span."""
         with self._context.hops.hop(name, runner_id=runner_id) as hop:
-            got = await call
-            if isinstance(got, FAILURES):
-                hop.fail(got.reason)
-            return got
+            result = await call
+            if isinstance(result, FAILURES):
+                hop.fail(result.reason)
+            return result
 
-    def _is_whole(self) -> bool:
+    def _is_complete(self) -> bool:
         return len(self._live.record.events) >= self._request.max_tokens
 
     def _new_attempt(self) -> attempt_module.Attempt:
-        if self._tries:
+        if self._attempts:
             self._context.meters.retried(str(self._live.stage))
-        self._tries += 1
+        self._attempts += 1
         record = self._live.record
         return self._resources.start(
             attempt_module.Attempt(
-                run_id=attempt_module.run_id_of(record.run_id, self._tries),
-                base=len(record.events),
+                run_id=attempt_module.run_id_of(record.run_id, self._attempts),
+                start_index=len(record.events),
             )
         )
 
     async def _grant(self, runner_id: str, kv_bytes: int) -> bool:
+        """Acquire a grant; report a denial to the router."""
         free_slots = await self._resources.acquire(runner_id, kv_bytes)
         if free_slots is None:
             return True
-        self._handed_on = True
+        self._step_reported = True
         self._context.scheduler.denied(
             self._item.work_id, runner_id, free_slots
         )
         return False
 
-    def _send(
+    def _note_sending(
         self, runner_id: str, engine: engine_client.EngineClient
     ) -> None:
         self._guard.mark_sending()
-        self._resources.touch(runner_id, engine)
+        self._resources.note_sent(runner_id, engine)
 
-    def _note(
+    def _note_failure(
         self, failure: engine_failure.EngineFailure, runner_id: str
     ) -> None:
         refused = isinstance(failure, engine_failure.Refused)
         if refused or not failure.sent:  # type: ignore[union-attr]
             self._guard.mark_refused()
-            self._resources.untouch(runner_id)
+            self._resources.note_not_run(runner_id)
 
     def _transfer_failed(self, runner_id: str) -> None:
         self._failed(stage.Stage.TRANSFER, runner_id)
-        # The router may use the KV cache on another runner at once. If
-        # it does not, nobody is going to fetch it: it is freed.
+        # The router may transfer the prefill's KV cache to another
+        # runner at once. Without such an action no runner will fetch the
+        # cache, so it is freed.
         if not self._context.scheduler.has_action(self._item.work_id):
             self._resources.free()
 
     def _failed(self, at: stage.Stage, runner_id: str) -> None:
         self._live.stage = stage.Stage.QUEUED
-        self._handed_on = True
+        self._step_reported = True
         self._context.scheduler.failed(self._item.work_id, at, runner_id)
 
     def _give_up(self, todo: action.GiveUp) -> None:
@@ -416,7 +429,7 @@
         self._live.finish(outcome.as_run_end(result, events))
 
 
-async def _end(step: 'asyncio.Task[None]') -> None:
+async def _cancel_step(step: 'asyncio.Task[None]') -> None:
     step.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await step
--- a/limpetroute/entry/runs/send_guard.py
+++ b/limpetroute/entry/runs/send_guard.py
@@ -1,10 +1,10 @@
-"""Knows whether anything of a request may have reached a runner."""
+"""Tracks whether a request may have run on any runner."""
 
 import dataclasses
 
 
 class SendGuard:
-    """Counts sends of one request and the refusals of them."""
+    """Counts the sends of one request and how many did not run."""
 
     __slots__ = ('_refused', '_sent')
 
@@ -19,20 +19,20 @@
         )
 
     def mark_sending(self) -> None:
-        """Note a send; call it before the first byte goes out."""
+        """Count a send; must be called before the first byte is sent."""
         self._sent += 1
 
     def mark_refused(self) -> None:
-        """Note that the newest send provably did not run."""
+        """Count that the newest send certainly did not run."""
         self._refused += 1
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a send stands that no runner has refused."""
+        """Whether any send is not known to have been refused."""
         return self._sent != self._refused
 
     def not_run_proof(self) -> 'NotRunProof | None':
-        """Return the proof, or None if something may have run."""
+        """Return a proof, or None if the request may have run."""
         if self.may_have_run:
             return None
         return NotRunProof(guard=self)
@@ -42,22 +42,22 @@
 class NotRunProof:
     """Evidence that a request did not run.
 
-    It cannot be made for a request that may have run: the guard is
-    asked again when the proof is made.
+    The constructor checks the guard again, so no proof exists for a
+    request that may have run.
 
     Parameters
     ----------
     guard : SendGuard
-        Guard of the request, none of whose sends ran.
+        Guard of the request.
 
     Raises
     ------
     ValueError
-        If something of the request may have run.
+        If the request may have run.
     """
 
     guard: SendGuard
 
     def __post_init__(self) -> None:
         if self.guard.may_have_run:
-            raise ValueError(f'may have run: {self.guard!r}')
+            raise ValueError(f'the request may have run: {self.guard!r}')
--- a/limpetroute/entry/runs/trace_writer.py
+++ b/limpetroute/entry/runs/trace_writer.py
@@ -1,4 +1,4 @@
-"""Writes a trace of bounded length."""
+"""Writes a trace file of limited size."""
 
 import json
 import logging
@@ -9,33 +9,33 @@
 
 
 class TraceWriter:
-    """Writes lines of the trace format until its bytes are used up.
+    """Writes lines in the trace format up to a maximum file size.
 
-    Recording never stands in a request's way: a full disk or the bound
-    ends it with one log line, and the host goes on.
+    Recording must not disturb requests. A write error or a full file
+    ends the recording with one log line, and the host continues.
 
     Parameters
     ----------
     path : Path
-        New file.
+        Path of the file, which must not exist.
     max_bytes : int
-        Most bytes of the file.
+        Maximum size of the file, in bytes.
     story : str
-        First line's story.
+        Description of the trace, written to the first line.
 
     Raises
     ------
     FileExistsError
-        If the file is there already.
+        If the file exists.
     """
 
-    __slots__ = ('_file', '_left_bytes', '_path')
+    __slots__ = ('_file', '_remaining_bytes', '_path')
 
     def __init__(
         self, *, path: pathlib.Path, max_bytes: int, story: str
     ) -> None:
         self._path = path
-        self._left_bytes = max_bytes
+        self._remaining_bytes = max_bytes
         self._file: typing.BinaryIO | None = path.open('xb')
         self._put({'trace': 1, 'story': story})
 
@@ -43,7 +43,7 @@
         return f'{type(self).__name__}(path={str(self._path)!r})'
 
     def write(self, at_s: float, verb: str, **args: typing.Any) -> None:
-        """Write one event of the router."""
+        """Write a call of the router with its arguments."""
         line = {'at_s': at_s, 'on': 'router', 'do': verb}
         if args:
             line['with'] = args
@@ -52,12 +52,12 @@
     def write_outcome(
         self, at_s: float, verb: str, expected: typing.Any
     ) -> None:
-        """Write one event of the router whose outcome is stated."""
+        """Write a call of the router with the result it returned."""
         line = {'at_s': at_s, 'on': 'router', 'do': verb}
         self._put({**line, 'expect': expected})
 
     def close(self) -> None:
-        """End the file."""
+        """Close the file."""
         if self._file is None:
             return
         try:
@@ -70,7 +70,7 @@
         if self._file is None:
             return
         line = json.dumps(body, separators=(',', ':')).encode() + b'\n'
-        if len(line) > self._left_bytes:
+        if len(line) > self._remaining_bytes:
             LOG.info('trace %s is full', self._path)
             self.close()
             return
@@ -80,4 +80,4 @@
             LOG.warning('trace %s: %s', self._path, exc.strerror)
             self._file = None
             return
-        self._left_bytes -= len(line)
+        self._remaining_bytes -= len(line)
--- a/tests/entry/silent_proxy.py
+++ b/tests/entry/silent_proxy.py
@@ -1,20 +1,21 @@
-"""A proxy in front of a runner that can stop copying for good."""
+"""A proxy in front of a runner that can stop forwarding data."""
 
 import asyncio
 
 
 class SilentProxy:
-    """Copies bytes until `silence`; then old connections stay open.
+    """Forwards data until `silence` is called.
 
-    Connections made after that work: something between the two ends has
-    lost track of the old ones alone.
+    After that the existing connections stay open without forwarding
+    data, and new connections work. A device between two hosts behaves
+    like that after it has lost the state of its connections.
     """
 
     def __init__(self, target_port: int) -> None:
         self._target_port = target_port
         self._tasks: set[asyncio.Task[None]] = set()
-        self._copying = asyncio.Event()
-        self._copying.set()
+        self._forwarding = asyncio.Event()
+        self._forwarding.set()
         self.connections = 0
 
     async def start(self) -> None:
@@ -22,10 +23,10 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def silence(self) -> None:
-        """Stop copying on all connections that are open now."""
-        self._copying.clear()
-        self._copying = asyncio.Event()
-        self._copying.set()
+        """Stop forwarding on all existing connections."""
+        self._forwarding.clear()
+        self._forwarding = asyncio.Event()
+        self._forwarding.set()
 
     async def stop(self) -> None:
         self._server.close()
@@ -36,7 +37,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        copying = self._copying
+        forwarding = self._forwarding
         other_reader, other_writer = await asyncio.open_connection(
             '127.0.0.1', self._target_port
         )
@@ -44,19 +45,19 @@
             (reader, other_writer),
             (other_reader, writer),
         ):
-            task = asyncio.create_task(self._copy(source, sink, copying))
+            task = asyncio.create_task(self._forward(source, sink, forwarding))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _copy(
+    async def _forward(
         self,
         source: asyncio.StreamReader,
         sink: asyncio.StreamWriter,
-        copying: asyncio.Event,
+        forwarding: asyncio.Event,
     ) -> None:
         try:
             while data := await source.read(65536):
-                await copying.wait()
+                await forwarding.wait()
                 sink.write(data)
                 await sink.drain()
         except ConnectionError:
--- a/tests/entry/test_answer_reader.py
+++ b/tests/entry/test_answer_reader.py
@@ -12,16 +12,16 @@
 @strategies.composite
 def _streams(draw: strategies.DrawFn) -> tuple[int, list[typing.Any]]:
     count = draw(strategies.integers(0, 12))
-    again = draw(strategies.lists(strategies.integers(0, max(0, count - 1))))
-    indexes = draw(strategies.permutations(list(range(count)) + again))
+    repeats = draw(strategies.lists(strategies.integers(0, max(0, count - 1))))
+    indexes = draw(strategies.permutations(list(range(count)) + repeats))
     events: list[typing.Any] = [
         engine_call.TokenEvent(index=index, text=f'{index} ')
         for index in indexes
         if index < count
     ]
-    place = draw(strategies.integers(0, len(events)))
+    end_index = draw(strategies.integers(0, len(events)))
     end = engine_call.EndEvent(finish_reason='stop', completion_tokens=count)
-    return count, [*events[:place], end, *events[place:]]
+    return count, [*events[:end_index], end, *events[end_index:]]
 
 
 async def _read(
@@ -39,9 +39,9 @@
 def test_any_order_gives_each_word_once(
     case: tuple[int, list[typing.Any]],
 ) -> None:
-    # An engine's events overtake each other and come twice, the end
-    # among them. The caller gets each word once, in order, and the end
-    # only after the last.
+    # Token events arrive out of order and twice, and the end event may
+    # arrive before the last token. Each token is delivered once and in
+    # order, and the end is returned only after the last token.
     count, events = case
     taken: list[str] = []
     got, _ = asyncio.run(_read(events, taken))
@@ -50,8 +50,9 @@
 
 
 def test_a_gap_is_resumed_from_the_word_before_it() -> None:
-    # Word 1 is lost with the connection, and 2 had overtaken it. The
-    # rest is asked for from word 0 on; word 2 alone is never shown.
+    # Token 1 is lost with the connection, and token 2 arrived before it.
+    # The stream must be resumed after token 0, and token 2 must not be
+    # delivered without token 1.
     events = [
         engine_call.TokenEvent(index=0, text='a'),
         engine_call.TokenEvent(index=2, text='c'),
--- a/tests/entry/test_answers_whole.py
+++ b/tests/entry/test_answers_whole.py
@@ -12,15 +12,15 @@
 from tests.entry import silent_proxy
 
 COUNT = 12
-# Time between two callers. Sent as fast as earlier ones end, sixty start
-# at one instant and, refused together after a second, are replaced at
-# one instant: of six changes of faults that pass meanwhile only the last
-# counts. Where prefills were closed in most of these, 8 of 500 were
-# completed.
-PACE_S = 0.01
+# Time between the starts of two callers. Without it, sixty callers start
+# at once, are refused together a second later, and are replaced by sixty
+# others at once. The faults change six times meanwhile, and only the
+# last change affects the new callers. Where most of these last changes
+# made all prefill runners refuse, only 8 of 500 requests completed.
+CALLER_INTERVAL_S = 0.01
 
 
-def _assert_whole(events: list, count: int = COUNT) -> None:
+def _assert_complete(events: list, count: int = COUNT) -> None:
     assert events[-1][1] == '[DONE]', events[-1]
     assert raw_caller.text_of(events) == fleet_module.want(count)
     assert raw_caller.ids_of(events) == list(range(count))
@@ -28,40 +28,41 @@
 
 
 def test_events_late_doubled_and_out_of_order() -> None:
-    # The engine's words arrive backwards and each twice. The clerk must
-    # see every word once and in order.
+    # The engine's tokens arrive in reverse order and twice each. The
+    # caller must receive each token once and in order.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], disorder=True)
         caller = await raw_caller.ask(fleet)
-        _assert_whole(await caller.read_events())
+        _assert_complete(await caller.read_events())
         assert sum(fleet.starts().values()) == 2
 
     fleet_module.play(story)
 
 
 def test_broken_stream_resumes_the_same_run() -> None:
-    # The connection to the decode runner breaks every three words. The
-    # run goes on there, so the rest of the same run is fetched: no
-    # second run, which would sample other words.
+    # The connection to the decode runner breaks after every three
+    # tokens. The runner continues the run, so the host must resume that
+    # run. A second run would sample other tokens.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], break_stream_after=3)
         caller = await raw_caller.ask(fleet)
-        _assert_whole(await caller.read_events())
+        _assert_complete(await caller.read_events())
         assert sorted(fleet.starts().values()) == [1, 1]
 
     fleet_module.play(story)
 
 
 def test_decode_fails_and_goes_on_elsewhere() -> None:
-    # The decode runner's engine fails after four words that the clerk
-    # has read. Another runner goes on from prompt and words, under a
-    # run id of its own; the events keep counting and their name.
+    # The decode runner's engine fails after the caller has received four
+    # tokens. Another runner continues from the prompt and these tokens
+    # under a new run id. The event ids keep their run name and their
+    # numbering.
     async def story(fleet: fleet_module.Fleet) -> None:
         for engine in fleet.decodes:
             fleet.fault(engine, fail_decode_after=4)
         caller = await raw_caller.ask(fleet)
         events = await caller.read_events()
-        _assert_whole(events)
+        _assert_complete(events)
         run_name = events[0][0].rsplit('-', 1)[0]
         ids = {name for e in fleet.decodes for name in e.state.run_starts}
         assert ids == {f'{run_name}.{number}' for number in (1, 2, 3)}
@@ -71,8 +72,9 @@
 
 
 def test_resume_across_a_continuation() -> None:
-    # The clerk's connection breaks after the answer moved to a second
-    # runner. The event id it holds still names its place.
+    # The caller's connection breaks after a second runner has continued
+    # the answer. The last event id must still resume the answer at the
+    # right event.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], fail_decode_after=4)
         fleet.fault(fleet.decodes[1], fail_decode_after=4)
@@ -84,29 +86,30 @@
         )
         rest = await again.read_events()
         assert raw_caller.ids_of(rest) == list(range(6, COUNT))
-        whole = raw_caller.text_of(events) + raw_caller.text_of(rest)
-        assert whole == fleet_module.want(COUNT)
+        text = raw_caller.text_of(events) + raw_caller.text_of(rest)
+        assert text == fleet_module.want(COUNT)
 
     fleet_module.play(story, prefills=3, decodes=3)
 
 
 def test_decode_runner_dies() -> None:
-    # The decode runner's process dies in the middle of the answer. The
-    # answer goes on at another runner and the clerk sees no seam.
+    # The decode runner's process stops in the middle of an answer.
+    # Another runner continues the answer, and the caller receives it
+    # without a gap or a repeated token.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, max_tokens=100)
         await caller.read_events(5)
         holder = next(e for e in fleet.decodes if e.state.active)
         await holder.stop()
-        _assert_whole(await caller.read_events(), 100)
+        _assert_complete(await caller.read_events(), 100)
 
     fleet_module.play(story, prefills=2, decodes=2)
 
 
 def test_no_runner_left_gives_a_tagged_end() -> None:
-    # The only decode runner dies after the clerk has read some words.
-    # The stream must end with an error that says so, never with the
-    # mark of a whole answer.
+    # The only decode runner stops after the caller has received some
+    # tokens. The stream must end with an error event, and never with
+    # the [DONE] event of a complete answer.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, max_tokens=100)
         await caller.read_events(5)
@@ -121,9 +124,9 @@
 
 
 def test_silent_connection_to_the_decode_runner() -> None:
-    # Something between host and runner forgets the connection: both
-    # ends stay open and nothing arrives. The silence is noticed within
-    # the token limit, and the run is resumed on a new connection.
+    # A device between the host and the runner drops the connection's
+    # state: both ends stay open and no data arrives. The token timeout
+    # must detect this, and the run is resumed on a new connection.
     async def story(fleet: fleet_module.Fleet) -> None:
         proxy = silent_proxy.SilentProxy(fleet.decodes[0].port)
         await proxy.start()
@@ -135,7 +138,7 @@
         caller = await raw_caller.ask(fleet, max_tokens=100)
         await caller.read_events(5)
         proxy.silence()
-        _assert_whole(await caller.read_events(), 100)
+        _assert_complete(await caller.read_events(), 100)
         assert proxy.connections >= 3
         assert sorted(fleet.starts().values()) == [1, 1]
         await proxy.stop()
@@ -144,28 +147,29 @@
 
 
 def test_prefill_runner_fails() -> None:
-    # A prefill runner drops the connection in the middle. Another one
-    # reads the prompt, under another run id, and the first holds
-    # nothing afterwards.
+    # A prefill runner closes the connection during a prefill. Another
+    # runner prefills the prompt under another run id, and the first one
+    # must free its memory.
     async def story(fleet: fleet_module.Fleet) -> None:
         for engine in fleet.prefills[:2]:
             fleet.fault(engine, fail_prefill=1)
         caller = await raw_caller.ask(fleet)
-        _assert_whole(await caller.read_events())
+        _assert_complete(await caller.read_events())
         await fleet_module.until(lambda: fleet.kv_used_bytes() == 0)
 
     fleet_module.play(story, prefills=3)
 
 
 def test_stalled_transfer_frees_the_prefill_result() -> None:
-    # The transfer to one decode runner stalls. It is abandoned, the
-    # prompt is read again for another one, and neither the stalled
-    # import nor the first result holds memory.
+    # The transfer to one decode runner stalls. The host abandons the
+    # transfer and prefills the prompt again for another decode runner.
+    # Neither the stalled import nor the first prefill's result may keep
+    # memory in use.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], stall_transfer=True)
         callers = [await raw_caller.ask(fleet) for _ in range(2)]
         for caller in callers:
-            _assert_whole(await caller.read_events())
+            _assert_complete(await caller.read_events())
         assert fleet.count('runs_cancelled') == 0
         await fleet_module.until(lambda: fleet.kv_used_bytes() == 0, limit_s=2)
         assert fleet.count('results_expired') == 0
@@ -176,24 +180,24 @@
 
 
 def test_the_last_word_came_and_the_end_was_lost() -> None:
-    # The engine fails after the last word and before its end. All words
-    # are there, so no second run is started for none.
+    # The stream breaks after the last token and before the end event.
+    # All tokens have arrived, so no second run may be started.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], break_stream_after=COUNT)
         caller = await raw_caller.ask(fleet)
         await fleet_module.until(lambda: fleet.count('words') == COUNT)
-        _assert_whole(await caller.read_events())
+        _assert_complete(await caller.read_events())
         assert sorted(fleet.starts().values()) == [1, 1]
 
     fleet_module.play(story)
 
 
-def _shake(rng: random.Random, fleet: fleet_module.Fleet) -> None:
-    """Give each engine new faults; now and then all prefills refuse."""
-    closed = rng.random() < 0.2
+def _set_random_faults(rng: random.Random, fleet: fleet_module.Fleet) -> None:
+    """Set random faults; in a fifth of the calls all prefills refuse."""
+    prefills_refuse = rng.random() < 0.2
     for engine in fleet.engines:
         fleet.fault(engine)
-        if closed and engine.settings.role == 'prefill':
+        if prefills_refuse and engine.settings.role == 'prefill':
             fleet.fault(engine, refuse=True)
             continue
         if rng.random() < 0.4:
@@ -217,7 +221,7 @@
 
 
 def runs_without_record(fleet: fleet_module.Fleet) -> list[str]:
-    """Return the runs at runners that belong to no record."""
+    """Return the run ids at runners that belong to no record."""
     known = [live.record.run_id for live in fleet.host.records]
     return [
         name
@@ -229,12 +233,12 @@
 
 @pytest.mark.parametrize('seed', [3, 11])
 def test_not_run_is_true_under_random_failures(seed: int) -> None:
-    # Runners refuse, drop connections and fail at random. A caller who
-    # is told `not_run` will send the request again: if it had run, the
-    # work would be done twice. A caller who is told `completed` must
-    # hold every word once.
+    # Runners refuse, close connections and fail at random. A caller
+    # repeats a request whose outcome is `not_run`, so a run of that
+    # request would do the work twice. With the outcome `completed` the
+    # caller must have received every token once.
     rng = random.Random(seed)
-    told: dict[str, int] = {}
+    outcome_counts: dict[str, int] = {}
 
     async def one(fleet: fleet_module.Fleet, number: int) -> None:
         prompt = f'Dossier {seed}-{number}\nShort.'
@@ -250,13 +254,13 @@
         outcome = caller.headers['limpetroute-outcome']
         live = fleet.host.records.by_key('default', f'key-{number}')
         if live is None:
-            # Refused before there was a record, as where the loop stood
-            # still for longer than a body may take: nothing may run that
-            # has none.
+            # The request was refused before it had a record, for example
+            # because the event loop was blocked for longer than the body
+            # timeout. A request without a record must not run.
             assert outcome == 'not_run'
             assert not runs_without_record(fleet)
             caller.fin()
-            told[outcome] = told.get(outcome, 0) + 1
+            outcome_counts[outcome] = outcome_counts.get(outcome, 0) + 1
             return
         run_name = live.record.run_id
         if outcome == 'pending':
@@ -266,27 +270,27 @@
             if last != '[DONE]':
                 outcome = last['error']['limpetroute_outcome']
             text = raw_caller.text_of(events)
-            want = answer_text.whole_answer(prompt, 6)
-            assert want.startswith(text)
-            assert outcome != 'completed' or text == want
+            expected = answer_text.whole_answer(prompt, 6)
+            assert expected.startswith(text)
+            assert outcome != 'completed' or text == expected
         caller.fin()
-        told[outcome] = told.get(outcome, 0) + 1
+        outcome_counts[outcome] = outcome_counts.get(outcome, 0) + 1
         if outcome != 'not_run':
             return
-        ran = [
+        started = [
             name
             for engine in fleet.engines
             for name in engine.state.run_starts
             if name.startswith(run_name)
         ]
-        assert not ran, f'{run_name} was told not_run'
+        assert not started, f'{run_name} ran, but its outcome was not_run'
 
     async def story(fleet: fleet_module.Fleet) -> None:
         waiting: set[asyncio.Task[None]] = set()
         for number in range(500):
             if number % 10 == 0:
-                _shake(rng, fleet)
-            await asyncio.sleep(PACE_S)
+                _set_random_faults(rng, fleet)
+            await asyncio.sleep(CALLER_INTERVAL_S)
             waiting.add(asyncio.create_task(one(fleet, number)))
             if len(waiting) >= 60:
                 done, waiting = await asyncio.wait(
@@ -295,8 +299,8 @@
                 for task in done:
                     task.result()
         await asyncio.gather(*waiting)
-        assert told.get('not_run', 0) > 10, told
-        assert told.get('completed', 0) > 10, told
+        assert outcome_counts.get('not_run', 0) > 10, outcome_counts
+        assert outcome_counts.get('completed', 0) > 10, outcome_counts
         for engine in fleet.engines:
             fleet.fault(engine)
         await fleet_module.until(lambda: fleet.kv_used_bytes() == 0)
@@ -312,9 +316,9 @@
 
 
 def test_taken_over_request_is_never_not_run() -> None:
-    # A host is lost after it has sent a request to a runner. The one
-    # that takes it over finds that all runners refuse. It has sent
-    # nothing itself, yet the request may have run.
+    # A host is lost after it has sent a request to a runner. The host
+    # that takes the request over sends nothing, because all runners
+    # refuse. The request may still have run at the first host's runner.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.prefills[0], refuse=True)
         caller = await raw_caller.ask(fleet, stream=False)
@@ -339,8 +343,8 @@
 
 
 def test_handed_over_request_is_never_not_run() -> None:
-    # A host that stops hands a queued request to another one, which
-    # runs it. Its caller must not be told that it was not run.
+    # A stopping host hands a queued request over to another host, which
+    # may run it. The outcome sent to the caller must not be `not_run`.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.host.hands_over = True
         first = await raw_caller.ask(fleet, max_tokens=4000)
--- a/tests/entry/test_counts.py
+++ b/tests/entry/test_counts.py
@@ -5,65 +5,65 @@
 from tests.entry import raw_caller
 
 
-class SeenMeters(meters_module.NullMeters):
-    """Keeps what is counted."""
+class RecordingMeters(meters_module.NullMeters):
+    """Records all calls with their arguments."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[typing.Any, ...]] = []
+        self.calls: list[tuple[typing.Any, ...]] = []
 
     def names(self) -> list[str]:
-        return [item[0] for item in self.seen]
+        return [item[0] for item in self.calls]
 
     def first_token(self, seconds: float) -> None:
-        self.seen.append(('first_token', seconds))
+        self.calls.append(('first_token', seconds))
 
     def token_gap(self, seconds: float) -> None:
-        self.seen.append(('token_gap', seconds))
+        self.calls.append(('token_gap', seconds))
 
     def ended(self, outcome: str, *, good: bool) -> None:
-        self.seen.append(('ended', outcome, good))
+        self.calls.append(('ended', outcome, good))
 
     def refused(self, reason: str) -> None:
-        self.seen.append(('refused', reason))
+        self.calls.append(('refused', reason))
 
     def retried(self, stage: str) -> None:
-        self.seen.append(('retried', stage))
+        self.calls.append(('retried', stage))
 
     def wasted_prefill(self, tokens: int) -> None:
-        self.seen.append(('wasted_prefill', tokens))
+        self.calls.append(('wasted_prefill', tokens))
 
     def gone_caller_freed(self, stage: str, seconds: float) -> None:
-        self.seen.append(('gone_caller_freed', stage, seconds))
+        self.calls.append(('gone_caller_freed', stage, seconds))
 
 
-def _count(fleet: fleet_module.Fleet) -> SeenMeters:
-    meters = SeenMeters()
+def _record_meters(fleet: fleet_module.Fleet) -> RecordingMeters:
+    meters = RecordingMeters()
     fleet.host.meters = meters
     return meters
 
 
 def test_good_and_late_answers() -> None:
-    # One answer meets its targets, one does not: only the first counts
-    # as goodput.
+    # Only an answer that meets its latency targets counts as goodput.
     async def story(fleet: fleet_module.Fleet) -> None:
-        meters = _count(fleet)
+        meters = _record_meters(fleet)
         caller = await raw_caller.ask(fleet)
         await caller.read_events()
         assert meters.names() == ['first_token', 'token_gap', 'ended']
-        assert meters.seen[-1] == ('ended', 'completed', True)
+        assert meters.calls[-1] == ('ended', 'completed', True)
         fleet.fault(fleet.decodes[0], slow_factor=10.0)
         caller = await raw_caller.ask(fleet)
         await caller.read_events()
-        assert meters.seen[-1] == ('ended', 'completed', False)
+        assert meters.calls[-1] == ('ended', 'completed', False)
 
     fleet_module.play(story, token_gap_s=0.03)
 
 
 def test_wasted_prefill_and_gone_caller() -> None:
-    # Every transfer stalls and each prompt was read in vain. Then the
-    # runners are well again, and a caller goes. Both are counted.
+    # Each transfer stalls, so the prefill before it is counted as
+    # wasted. After the runners work again, a caller disconnects during
+    # a decode, and the time until its memory is freed is counted.
     async def story(fleet: fleet_module.Fleet) -> None:
-        meters = _count(fleet)
+        meters = _record_meters(fleet)
         for engine in fleet.decodes:
             fleet.fault(engine, stall_transfer=True)
         caller = await raw_caller.ask(fleet)
@@ -72,7 +72,7 @@
             lambda: meters.names().count('wasted_prefill') == 3
         )
         await fleet_module.until(
-            lambda: ('ended', 'unknown', False) in meters.seen
+            lambda: ('ended', 'unknown', False) in meters.calls
         )
         assert meters.names().count('wasted_prefill') == 3
         assert meters.names().count('retried') == 2
@@ -83,24 +83,24 @@
         caller.fin()
         await fleet_module.until(lambda: 'gone_caller_freed' in meters.names())
         freed = next(
-            item for item in meters.seen if item[0] == 'gone_caller_freed'
+            item for item in meters.calls if item[0] == 'gone_caller_freed'
         )
         assert freed[1] == 'decode'
-        assert ('ended', 'cancelled', False) in meters.seen
+        assert ('ended', 'cancelled', False) in meters.calls
 
     fleet_module.play(story, prefills=3, decodes=3, transfer_timeout_s=0.2)
 
 
 def test_refusals_are_counted() -> None:
-    # Turned away by the router, and before it.
+    # One request is refused by the router and one before it gets there.
     async def story(fleet: fleet_module.Fleet) -> None:
-        meters = _count(fleet)
+        meters = _record_meters(fleet)
         fleet.fault(fleet.prefills[0], refuse=True)
         caller = await raw_caller.ask(fleet)
         assert await caller.read_head() == 503
         caller = await raw_caller.ask(fleet, model='other')
         assert await caller.read_head() == 404
-        reasons = [item[1] for item in meters.seen if item[0] == 'refused']
+        reasons = [item[1] for item in meters.calls if item[0] == 'refused']
         assert reasons == ['retries', 'unknown_model']
 
     fleet_module.play(story, first_token_s=0.3, keep_alive_s=5.0)
--- a/tests/entry/test_gone_callers.py
+++ b/tests/entry/test_gone_callers.py
@@ -7,60 +7,62 @@
 from tests.entry import fleet as fleet_module
 from tests.entry import raw_caller
 
-LIMIT_S = 2.0
+FREE_LIMIT_S = 2.0
 TRANSFER_S = 0.6
-WAYS = ('fin', 'rst')
+CLOSE_METHODS = ('fin', 'rst')
 LONG = {'max_tokens': 4000}
 
 
-async def _all_free(fleet: fleet_module.Fleet) -> None:
+async def _wait_all_free(fleet: fleet_module.Fleet) -> None:
     await fleet_module.until(
         lambda: (
             fleet.host.in_progress == 0
             and fleet.host.canceller.pending == 0
             and fleet.kv_used_bytes() == 0
         ),
-        limit_s=LIMIT_S,
+        limit_s=FREE_LIMIT_S,
     )
     assert all(not engine.state.active for engine in fleet.engines)
 
 
-async def _at(fleet: fleet_module.Fleet, where: stage.Stage) -> None:
+async def _wait_for_stage(
+    fleet: fleet_module.Fleet, expected: stage.Stage
+) -> None:
     await fleet_module.until(
-        lambda: any(live.stage is where for live in fleet.host.records)
+        lambda: any(live.stage is expected for live in fleet.host.records)
     )
 
 
-@pytest.mark.parametrize('way', WAYS)
+@pytest.mark.parametrize('close_method', CLOSE_METHODS)
 @pytest.mark.parametrize('streamed', [True, False])
-def test_caller_goes_in_decode(way: str, streamed: bool) -> None:
-    # A clerk closes the window while the verdict is written. Nobody
-    # reads the rest, yet the run would hold its slot and KV memory to
-    # the last word. After the grace the run is ended at the runner.
+def test_caller_goes_in_decode(close_method: str, streamed: bool) -> None:
+    # A caller disconnects during a decode. Without a cancel the run
+    # would hold its slot and KV memory until the last token, so the run
+    # must be cancelled at the runner after the grace period.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, stream=streamed, **LONG)
-        await _at(fleet, stage.Stage.DECODE)
+        await _wait_for_stage(fleet, stage.Stage.DECODE)
         await fleet_module.until(lambda: fleet.count('words') > 3)
         assert fleet.kv_used_bytes() > 0
-        getattr(caller, way)()
-        await _all_free(fleet)
+        getattr(caller, close_method)()
+        await _wait_all_free(fleet)
         assert fleet.count('runs_cancelled') == 1
 
     fleet_module.play(story)
 
 
-@pytest.mark.parametrize('way', WAYS)
+@pytest.mark.parametrize('close_method', CLOSE_METHODS)
 @pytest.mark.parametrize('streamed', [True, False])
-def test_caller_goes_in_transfer(way: str, streamed: bool) -> None:
-    # The caller goes while the KV cache is on its way. The cancel
-    # reaches the decode runner before the transfer ends; a runner that
-    # forgot the cancel would take the cache in and hold it for ever.
+def test_caller_goes_in_transfer(close_method: str, streamed: bool) -> None:
+    # The caller disconnects during the transfer of the KV cache. The
+    # cancel reaches the decode runner before the transfer ends. A runner
+    # that ignored the cancel would import the cache and never free it.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], slow_factor=300.0)
         caller = await raw_caller.ask(fleet, stream=streamed)
-        await _at(fleet, stage.Stage.TRANSFER)
-        getattr(caller, way)()
-        await _all_free(fleet)
+        await _wait_for_stage(fleet, stage.Stage.TRANSFER)
+        getattr(caller, close_method)()
+        await _wait_all_free(fleet)
         await asyncio.sleep(TRANSFER_S)
         assert fleet.kv_used_bytes() == 0
 
@@ -69,17 +71,17 @@
     )
 
 
-@pytest.mark.parametrize('way', WAYS)
+@pytest.mark.parametrize('close_method', CLOSE_METHODS)
 @pytest.mark.parametrize('streamed', [True, False])
-def test_caller_goes_in_prefill(way: str, streamed: bool) -> None:
-    # The caller goes while the prompt is read. The prefill's result
-    # must be dropped when it comes, not held until it expires.
+def test_caller_goes_in_prefill(close_method: str, streamed: bool) -> None:
+    # The caller disconnects during the prefill. The prefill's result
+    # must be freed when the prefill ends, not when the result expires.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.prefills[0], slow_factor=200.0)
         caller = await raw_caller.ask(fleet, stream=streamed)
-        await _at(fleet, stage.Stage.PREFILL)
-        getattr(caller, way)()
-        await _all_free(fleet)
+        await _wait_for_stage(fleet, stage.Stage.PREFILL)
+        getattr(caller, close_method)()
+        await _wait_all_free(fleet)
         await fleet_module.until(lambda: fleet.prefills[0].state.waiting == 0)
         assert fleet.kv_used_bytes() == 0
         assert fleet.count('results_expired') == 0
@@ -89,28 +91,29 @@
     )
 
 
-@pytest.mark.parametrize('way', WAYS)
+@pytest.mark.parametrize('close_method', CLOSE_METHODS)
 @pytest.mark.parametrize('streamed', [True, False])
-def test_caller_goes_while_queued(way: str, streamed: bool) -> None:
-    # The only decode slot is taken and the second caller gives up its
-    # place in the queue. Its work must not start once the slot is free.
+def test_caller_goes_while_queued(close_method: str, streamed: bool) -> None:
+    # The only decode slot is in use, and a queued caller disconnects.
+    # Its request must not start when the slot becomes free.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, max_tokens=100)
         await first.read_events(1)
         second = await raw_caller.ask(fleet, stream=streamed)
         await fleet_module.until(lambda: fleet.host.in_progress == 2)
-        getattr(second, way)()
+        getattr(second, close_method)()
         await fleet_module.until(lambda: fleet.host.in_progress == 1)
         await first.read_events()
-        await _all_free(fleet)
+        await _wait_all_free(fleet)
         assert fleet.count('prefills') == 1
 
     fleet_module.play(story, engine={'slots': 1})
 
 
 def test_silent_caller() -> None:
-    # A caller's link goes dead: no FIN, no RST, it only stops reading.
-    # Its writes stall; past the limit the run is ended and its KV freed.
+    # A caller stops reading without a FIN or RST, as after a broken
+    # link. Writes to the caller stall. After the stall limit the run
+    # must be cancelled and its KV memory freed.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = raw_caller.RawCaller(fleet.port, receive_bytes=4096)
         await caller.send(
@@ -123,35 +126,36 @@
                 'stream': True,
             },
         )
-        await _at(fleet, stage.Stage.DECODE)
+        await _wait_for_stage(fleet, stage.Stage.DECODE)
         await fleet_module.until(
             lambda: fleet.host.in_progress == 0, limit_s=20
         )
         assert fleet.only_record().record.end.kind == 'cancelled'
-        await _all_free(fleet)
+        await _wait_all_free(fleet)
         caller.fin()
 
     fleet_module.play(story, max_buffer_bytes=4096, engine={'step_s': 0.0001})
 
 
 def test_first_cancel_fails() -> None:
-    # The caller goes, and the cancel call to the runner breaks. Were it
-    # not repeated, the run would hold its slot until the last word.
+    # The caller disconnects, and the cancel calls to the runner fail. If
+    # they were not repeated, the run would hold its slot until the last
+    # token.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, **LONG)
         await caller.read_events(2)
         fleet.fault(fleet.decodes[0], fail_cancels=3)
         caller.fin()
-        await _all_free(fleet)
+        await _wait_all_free(fleet)
         assert fleet.count('runs_cancelled') == 1
 
     fleet_module.play(story)
 
 
 def test_cancel_survives_the_shutdown() -> None:
-    # The caller goes just before the host is told to stop, and the
-    # first cancel calls fail. The host must not exit with the run
-    # still holding memory at the runner.
+    # The caller disconnects just before the host stops, and the first
+    # cancel calls fail. The host must not exit while the run still holds
+    # memory at the runner.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, **LONG)
         await caller.read_events(2)
@@ -165,9 +169,9 @@
 
 
 def test_two_hundred_callers_go() -> None:
-    # Two hundred callers leave within a moment, some queued, some in
-    # prefill, some in decode, by FIN and by RST. Two seconds after the
-    # last has gone no runner holds a byte for any of them.
+    # Two hundred callers disconnect at once by FIN and RST: some queued,
+    # some in prefill, some in decode. Within two seconds after the last
+    # one the runners must have freed all memory.
     async def story(fleet: fleet_module.Fleet) -> None:
         callers = [
             await raw_caller.ask(
@@ -180,23 +184,25 @@
         assert stage.Stage.QUEUED in stages
         assert stage.Stage.DECODE in stages
         for number, caller in enumerate(callers):
-            getattr(caller, WAYS[number % 2])()
-        await _all_free(fleet)
+            getattr(caller, CLOSE_METHODS[number % 2])()
+        await _wait_all_free(fleet)
 
     fleet_module.play(story, prefills=2, decodes=3, first_token_s=30.0)
 
 
-def test_nobody_can_come_back_for_it() -> None:
-    # A caller without a key goes before it was told the request's id.
-    # It cannot name the request, so there is no grace to wait out; with
-    # a key of its own it has the grace.
+def test_no_grace_without_key_or_request_id() -> None:
+    # A caller without an idempotency key disconnects before it received
+    # the request's id. It cannot name the request in a retry, so its run
+    # is cancelled without a grace period. A caller with a key has one.
     async def story(fleet: fleet_module.Fleet) -> None:
         key = {'Idempotency-Key': 'k'}
-        nameless = await raw_caller.ask(fleet, stream=False, **LONG)
-        named = await raw_caller.ask(fleet, stream=False, headers=key, **LONG)
+        without_key = await raw_caller.ask(fleet, stream=False, **LONG)
+        with_key = await raw_caller.ask(
+            fleet, stream=False, headers=key, **LONG
+        )
         await fleet_module.until(lambda: fleet.count('words') > 3)
-        nameless.fin()
-        named.fin()
+        without_key.fin()
+        with_key.fin()
         await fleet_module.until(lambda: fleet.host.in_progress == 1)
         await asyncio.sleep(TRANSFER_S)
         assert fleet.host.in_progress == 1
@@ -205,21 +211,21 @@
     fleet_module.play(story, resume_grace_s=60.0)
 
 
-@pytest.mark.parametrize('known', [False, True])
+@pytest.mark.parametrize('key_in_use', [False, True])
 def test_caller_goes_while_its_key_is_looked_up(
-    known: bool, monkeypatch: pytest.MonkeyPatch
+    key_in_use: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The caller goes while the other hosts are asked for its key. The
-    # loss was told before there was a run or an attachment: a run
-    # started or attached to afterwards would have nobody to read it,
-    # and nobody to notice.
+    # The caller disconnects while the host looks its key up at the other
+    # hosts. The disconnect is reported before there is a run or an
+    # attachment. A run that was started or attached to afterwards would
+    # have no reader and would never be cancelled.
     async def look_up(*args: object, **kwargs: object) -> bool:
         await asyncio.sleep(0.1)
         return False
 
     async def story(fleet: fleet_module.Fleet) -> None:
         key = {'Idempotency-Key': 'k'}
-        if known:
+        if key_in_use:
             first = await raw_caller.ask(fleet, headers=key, **LONG)
             await first.read_events(1)
         monkeypatch.setattr(
@@ -227,13 +233,13 @@
         )
         again = await raw_caller.ask(fleet, headers=key, **LONG)
         await fleet_module.until(
-            lambda: len(fleet.host.open_handlers) == 1 + known
+            lambda: len(fleet.host.open_handlers) == 1 + key_in_use
         )
         again.fin()
-        if known:
+        if key_in_use:
             first.fin()
         await asyncio.sleep(0.3)
-        await _all_free(fleet)
-        assert fleet.count('prefills') == int(known)
+        await _wait_all_free(fleet)
+        assert fleet.count('prefills') == int(key_in_use)
 
     fleet_module.play(story)
--- a/tests/entry/test_shutdown.py
+++ b/tests/entry/test_shutdown.py
@@ -8,16 +8,17 @@
 
 
 def test_shutdown_cuts_off_nobody() -> None:
-    # The platform stops the host while clerks read their verdicts and
-    # one waits for a whole answer. Each gets all of it; who comes
-    # meanwhile is told that nothing ran and when to come back.
+    # The host stops while callers read streamed answers and one waits
+    # for an answer that is not streamed. Each receives the complete
+    # answer. A request that arrives during the drain is refused with the
+    # outcome `not_run` and a Retry-After header.
     async def story(fleet: fleet_module.Fleet) -> None:
         callers = [
             await raw_caller.ask(fleet, max_tokens=100) for _ in range(3)
         ]
         for caller in callers:
             await caller.read_events(2)
-        whole = await raw_caller.ask(fleet, stream=False, max_tokens=50)
+        unstreamed = await raw_caller.ask(fleet, stream=False, max_tokens=50)
         await fleet_module.until(lambda: fleet.host.in_progress == 4)
         stopping = asyncio.create_task(fleet.entry.stop())
         await fleet_module.until(lambda: not fleet.host.ready)
@@ -33,7 +34,7 @@
             events = await caller.read_events()
             assert events[-1][1] == '[DONE]'
             assert raw_caller.text_of(events) == fleet_module.want(100)
-        assert fleet_module.want(50).encode() in await whole.read_body()
+        assert fleet_module.want(50).encode() in await unstreamed.read_body()
         await stopping
         assert fleet.kv_used_bytes() == 0
 
@@ -41,8 +42,9 @@
 
 
 def test_resume_while_draining() -> None:
-    # A clerk's connection breaks while the host drains. It comes back
-    # within the grace and gets the rest from the same host.
+    # A caller's connection breaks while the host drains. The caller
+    # reconnects within the grace period and receives the rest of the
+    # answer from the same host.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, max_tokens=200)
         events = await caller.read_events(3)
@@ -59,9 +61,9 @@
 
 
 def test_drain_time_lapses() -> None:
-    # An answer takes longer than the drain may. Its stream ends with a
-    # tagged event that says to resume elsewhere, and the runner is
-    # freed; the host does not wait for ever.
+    # An answer takes longer than the drain timeout. Its stream must end
+    # with an error event that says to resume at another host, the
+    # runner's memory must be freed, and the host must stop in time.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, max_tokens=4000)
         await caller.read_events(2)
@@ -78,8 +80,8 @@
 
 
 def test_leaving_runner_gets_no_new_work() -> None:
-    # A decode runner says that it leaves. What runs there ends there;
-    # nothing new is sent to it from the moment its word is here.
+    # A decode runner announces that it leaves. Its runs end there, and
+    # the host sends it no new request after the announcement.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, max_tokens=100)
         await first.read_events(2)
@@ -96,9 +98,9 @@
 
 
 def test_runner_goes_silent_in_prefill() -> None:
-    # A prefill runner hangs with the connection open and announces no
-    # more. The time limit of the call ends the wait, and another runner
-    # reads the prompt.
+    # A prefill runner hangs with its connection open and stops
+    # announcing itself. The host must not wait for the runner longer
+    # than the prefill timeout, and another runner prefills the prompt.
     async def story(fleet: fleet_module.Fleet) -> None:
         for engine in fleet.prefills[:2]:
             fleet.fault(engine, mute_prefill=True)
@@ -110,8 +112,9 @@
 
 
 def test_queued_callers_are_told_when_the_drain_lapses() -> None:
-    # A request still queued when the drain lapses was not run, and its
-    # caller is told so: it can be sent again at once.
+    # A request that is still queued at the drain timeout did not run.
+    # The outcome sent to its caller must be `not_run`, so that the
+    # caller can send the request again at once.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, max_tokens=4000)
         await first.read_events(1)
@@ -135,8 +138,9 @@
 
 
 def test_process_exits_with_zero_after_its_streams(tmp_path) -> None:
-    # SIGTERM reaches the process in the middle of an answer. The caller
-    # gets all of it, and the process exits with 0.
+    # The entry process receives SIGTERM in the middle of an answer. The
+    # caller must receive the complete answer, and the process must exit
+    # with code 0.
     entry = processes.Process(
         'entry',
         {'host_id': 'e1', 'zone': 'evere', 'zones': ['evere']},
@@ -173,7 +177,8 @@
     try:
         events = asyncio.run(story())
     finally:
-        # The entry process has its signal; a second one is not sent.
+        # The entry process has received its signal, so no second signal
+        # is sent.
         codes = [entry.stop(0)]
         codes += [process.stop() for process in started[1:]]
     assert events[-1][1] == '[DONE]'
--- a/tests/entry/test_slow_manifest.py
+++ b/tests/entry/test_slow_manifest.py
@@ -1,4 +1,4 @@
-"""An entry host takes a large manifest over a slow link."""
+"""An entry host fetches a large manifest over a slow link."""
 
 import asyncio
 import json
@@ -7,16 +7,17 @@
 from limpetroute.entry.manifests import manifest_watch
 from limpetroute.wire import caller
 
-PIECES = 8
-PIECE_S = 0.25
+CHUNKS = 8
+CHUNK_INTERVAL_S = 0.25
 
 
 def test_a_manifest_that_comes_slowly_comes_in_force(tmp_path):
-    """Entry hosts stay at an old manifest for good.
+    """A slow download must not keep an entry host at an old manifest.
 
     A manifest of 13,000 teams, 2 MB, takes over three seconds on a link
-    of 5 Mbit/s. The call for it had a second and a half in all, and
-    began anew each time. One that makes progress must not be cut.
+    of 5 Mbit/s. With a limit of 1.5 s for the whole call, each call was
+    cut off and started from the beginning. A download that makes
+    progress must not be cut off.
     """
     body = json.dumps({'number': 7, 'sender': 'ops'})
     answer = f'{{"number":7,"in_touch":true,"manifest":{body}}}'.encode()
@@ -26,10 +27,10 @@
         await reader.readuntil(b'\r\n\r\n')
         head = f'HTTP/1.1 200 OK\r\nContent-Length: {len(answer)}\r\n\r\n'
         writer.write(head.encode())
-        step = -(-len(answer) // PIECES)
-        for start in range(0, len(answer), step):
-            await asyncio.sleep(PIECE_S)
-            writer.write(answer[start : start + step])
+        size = -(-len(answer) // CHUNKS)
+        for start in range(0, len(answer), size):
+            await asyncio.sleep(CHUNK_INTERVAL_S)
+            writer.write(answer[start : start + size])
         await writer.drain()
         writer.close()
 
@@ -50,7 +51,7 @@
         )
         watch.start()
         try:
-            async with asyncio.timeout(3 * PIECES * PIECE_S):
+            async with asyncio.timeout(3 * CHUNKS * CHUNK_INTERVAL_S):
                 while not seen:
                     await asyncio.sleep(0.02)
         finally:
--- a/tests/replay/test_recording.py
+++ b/tests/replay/test_recording.py
@@ -92,7 +92,7 @@
 def test_full_disk_ends_the_recording_alone(caplog):
     writer = trace_writer.TraceWriter.__new__(trace_writer.TraceWriter)
     writer._path = '/dev/full'
-    writer._left_bytes = 1 << 20
+    writer._remaining_bytes = 1 << 20
     writer._file = open('/dev/full', 'wb', buffering=0)  # noqa: SIM115
     writer.write(time.monotonic(), 'tokens', work_id='w', count=1)
     writer.write(time.monotonic(), 'tokens', work_id='w', count=1)
