--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -194,8 +194,9 @@
     async def drain(self) -> None:
         """Refuse new requests and end the open ones.
 
-        Requests may complete until ``drain_timeout_s``. The rest are
-        handed over to another host if there is one, and cancelled here.
+        Open requests may complete within ``drain_timeout_s``. The others
+        are then handed over to another host if there is one, and are
+        cancelled here.
         """
         self.draining = True
         if self.peers is not None:
@@ -219,7 +220,7 @@
         await self.canceller.drain(free_s)
 
     async def wait_for_callers(self) -> None:
-        """Wait until the outcomes of all requests are written.
+        """Wait until all answers and errors are written to the callers.
 
         Gives up after ``write_stall_s``.
         """
@@ -306,14 +307,14 @@
         self,
         request: run_request.RunRequest,
         live: live_record.LiveRecord,
-        tries: int,
+        prior_attempts: int,
     ) -> run_task.RunTask:
         return run_task.RunTask(
             request=request,
             item=self._work(request, live.arrived_s),
             live=live,
             context=self._run_context(),
-            tries=tries,
+            prior_attempts=prior_attempts,
         )
 
     def _run_context(self) -> run_context.RunContext:
--- a/limpetroute/entry/manifests/manifest_watch.py
+++ b/limpetroute/entry/manifests/manifest_watch.py
@@ -15,10 +15,10 @@
 
 LOG = logging.getLogger(__name__)
 
-# A control host holds a long poll this long if the manifest does not
-# change. A connection that has gone silent times out SLACK_S later, and
-# the next control host is asked. So a new manifest reaches every host
-# within 2 s.
+# A control host answers a long poll after LONG_POLL_S if the manifest
+# has not changed. A poll without an answer times out SLACK_S later, and
+# the watch polls the next control host. So a new manifest reaches every
+# entry host within 2 s.
 LONG_POLL_S = 1.0
 SLACK_S = 0.5
 RETRY_DELAY_S = 0.1
--- a/limpetroute/entry/runs/attempt_resources.py
+++ b/limpetroute/entry/runs/attempt_resources.py
@@ -67,12 +67,12 @@
         assert attempt is not None
         if runner_id in attempt.fences:
             return None
-        got = await self._context.grants.acquire(
+        result = await self._context.grants.acquire(
             runner_id=runner_id, work_id=attempt.run_id, kv_bytes=kv_bytes
         )
-        if isinstance(got, grants_module.Denied):
-            return got.free_slots
-        attempt.fences[runner_id] = got.fence
+        if isinstance(result, grants_module.Denied):
+            return result.free_slots
+        attempt.fences[runner_id] = result.fence
         return None
 
     def release(self) -> None:
@@ -88,7 +88,7 @@
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
-        self._count_waste(attempt)
+        self._count_wasted_prefill(attempt)
         for runner_id, engine in attempt.contacted.items():
             self._free(attempt, runner_id, engine)
         for runner_id in attempt.fences:
@@ -146,7 +146,7 @@
     def _release(self, runner_id: str, run_id: str) -> None:
         self._context.grants.release(runner_id=runner_id, work_id=run_id)
 
-    def _count_waste(self, attempt: attempt_module.Attempt) -> None:
+    def _count_wasted_prefill(self, attempt: attempt_module.Attempt) -> None:
         result = attempt.result
         if result is None:
             return
--- a/limpetroute/entry/runs/run_task.py
+++ b/limpetroute/entry/runs/run_task.py
@@ -49,7 +49,7 @@
         Record to which the answer is appended.
     context : RunContext
         Collaborators of the run.
-    tries : int
+    prior_attempts : int
         Number of attempts that another host made before. Their run ids
         are in use.
     """
@@ -72,7 +72,7 @@
         item: work.Work,
         live: live_record.LiveRecord,
         context: run_context.RunContext,
-        tries: int = 0,
+        prior_attempts: int = 0,
     ) -> None:
         self._request = request
         self._item = item
@@ -83,8 +83,8 @@
             live=live, context=context
         )
         self._step_reported = False
-        self._attempts = tries
-        if tries:
+        self._attempts = prior_attempts
+        if prior_attempts:
             # Another host has sent the request before, and the state of
             # that host's guard is lost. So nothing can prove that the
             # request did not run.
