--- a/limpetroute/entry/records/live_record.py
+++ b/limpetroute/entry/records/live_record.py
@@ -1,4 +1,4 @@
-"""A request's record with its task and the waits for its events."""
+"""A request's record, its run's task and the coroutines waiting on it."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 
 
 class LiveRecord:
-    """Wakes the waits of a record's attachments when it changes.
+    """Holds a record and wakes coroutines that wait for its changes.
 
     An attachment is a caller's connection that receives the answer.
 
@@ -106,7 +106,7 @@
         return f'{type(self).__name__}(record={self.record!r})'
 
     def append(self, text: str, now_s: float) -> None:
-        """Append an event to the answer and wake all waits."""
+        """Append an event to the answer and wake waiting coroutines."""
         if self.first_token_s is None:
             self.first_token_s = now_s
         self.last_token_s = now_s
@@ -184,7 +184,7 @@
             await self.before_end(self)
 
     def wake(self) -> None:
-        """Wake all calls of `wait_for_event`."""
+        """Wake all coroutines that wait in `wait_for_event`."""
         waiters, self._waiters = self._waiters, []
         for _, waiter in waiters:
             if not waiter.done():
@@ -221,7 +221,7 @@
         return True
 
     def _expire_waits(self) -> None:
-        """Wake the waits that have timed out.
+        """Wake the coroutines whose waits have timed out.
 
         All waits of a record share one timer, which is set again only
         after it has fired. A timer for each token would cost more than
--- a/limpetroute/entry/runs/recording_router.py
+++ b/limpetroute/entry/runs/recording_router.py
@@ -45,29 +45,29 @@
     def configure(
         self, config: policy_config.PolicyConfig, now_s: float
     ) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'configure', config=plain.fields(config))
         self._policy.configure(config, now_s)
 
     def on_runner(self, facts: runner_facts.RunnerFacts, now_s: float) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'runner', facts=plain.fields(facts))
         self._policy.on_runner(facts, now_s)
 
     def on_runner_gone(self, runner_id: str, now_s: float) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'runner_gone', runner_id=runner_id)
         self._policy.on_runner_gone(runner_id, now_s)
 
     def on_report(self, report: load_report.LoadReport, now_s: float) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'report', report=plain.fields(report))
         self._policy.on_report(report, now_s)
 
     def on_cached(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(
             now_s, 'cached', runner_id=runner_id, blocks=list(blocks)
         )
@@ -76,21 +76,21 @@
     def on_evicted(
         self, runner_id: str, blocks: typing.Sequence[int], now_s: float
     ) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(
             now_s, 'evicted', runner_id=runner_id, blocks=list(blocks)
         )
         self._policy.on_evicted(runner_id, blocks, now_s)
 
     def offer(self, item: work.Work, now_s: float) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'offer', item=plain.fields(item))
         self._policy.offer(item, now_s)
 
     def on_prefill_done(
         self, work_id: str, cached_tokens: int, now_s: float
     ) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(
             now_s,
             'prefill_done',
@@ -100,19 +100,19 @@
         self._policy.on_prefill_done(work_id, cached_tokens, now_s)
 
     def on_transfer_done(self, work_id: str, now_s: float) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'transfer_done', work_id=work_id)
         self._policy.on_transfer_done(work_id, now_s)
 
     def on_tokens(self, work_id: str, count: int, now_s: float) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'tokens', work_id=work_id, count=count)
         self._policy.on_tokens(work_id, count, now_s)
 
     def on_denied(
         self, work_id: str, runner_id: str, free_slots: int, now_s: float
     ) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(
             now_s,
             'denied',
@@ -130,7 +130,7 @@
         now_s: float,
         may_repeat: bool = True,
     ) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(
             now_s,
             'failed',
@@ -142,7 +142,7 @@
         self._policy.on_failed(work_id, at, runner_id, now_s, may_repeat)
 
     def on_end(self, work_id: str, how: stage.Ending, now_s: float) -> None:
-        """Record and pass on."""
+        """Record the call and forward it to the router."""
         self._writer.write(now_s, 'end', work_id=work_id, how=str(how))
         self._policy.on_end(work_id, how, now_s)
 
@@ -153,5 +153,5 @@
         return actions
 
     def wake_s(self) -> float | None:
-        """Return when the router wants to run next; not recorded."""
+        """Return the time of the router's next timer; not recorded."""
         return self._policy.wake_s()
--- a/limpetroute/entry/runs/retry_budget.py
+++ b/limpetroute/entry/runs/retry_budget.py
@@ -8,11 +8,11 @@
     """Allows retries as a share of first tries.
 
     Without a budget, when all runners of a service fail at once, each
-    call is sent three times, and the service meets three times its load
-    when it comes back. A tenth of the first tries is enough to retry
-    single failures and adds at most a tenth to an overload. The budget
-    starts with ``MAX_RETRIES``, so that a service with little traffic
-    can retry too.
+    call is sent three times, and the service receives three times its
+    usual load when it recovers. A tenth of the first tries is enough to
+    retry single failures and adds at most a tenth to an overload. The
+    budget starts with ``MAX_RETRIES``, so that a service with little
+    traffic can retry too.
     """
 
     __slots__ = ('_available',)
--- a/limpetroute/entry/runs/run_context.py
+++ b/limpetroute/entry/runs/run_context.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     scheduler : Scheduler
-        Passes events to the router and its actions to the run.
+        Passes events to the router and the router's actions to the run.
     engines : EnginePool
         Clients of the runners.
     grants : GrantSource
