--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -1,4 +1,4 @@
-"""Everything one entry process shares between its handlers."""
+"""State of one entry process, shared by its HTTP handlers."""
 
 import asyncio
 import functools
@@ -23,15 +23,15 @@
 from limpetroute.entry.manifests import manifest_watch
 from limpetroute.entry.peering import grants as grants_module
 from limpetroute.entry.peering import peer_node
-from limpetroute.entry.records import adopted_run
 from limpetroute.entry.records import live_record
 from limpetroute.entry.records import record_store
+from limpetroute.entry.records import taken_over_run
 from limpetroute.entry.runs import decision_recorder
 from limpetroute.entry.runs import latency_targets
-from limpetroute.entry.runs import run_freer
+from limpetroute.entry.runs import run_canceller
+from limpetroute.entry.runs import run_context
 from limpetroute.entry.runs import run_request
 from limpetroute.entry.runs import run_task
-from limpetroute.entry.runs import run_tools
 from limpetroute.entry.runs import scheduler as scheduler_module
 from limpetroute.entry.services import control_claims
 from limpetroute.entry.services import service_desk
@@ -56,7 +56,7 @@
     Parameters
     ----------
     settings : EntrySettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, *, settings: entry_settings.EntrySettings) -> None:
@@ -93,14 +93,14 @@
             ),
             meters=self.meters,
         )
-        self.freer = run_freer.RunFreer()
+        self.canceller = run_canceller.RunCanceller()
         self.records = record_store.RecordStore(retain_s=settings.retain_s)
         self.manifest: manifest_module.ManifestBody | None = None
         self.draining = False
         # Handlers of requests that are not answered yet.
-        self.exchanges: set[object] = set()
-        # Whether another host holds copies of the records and goes on
-        # with the runs that are left when this host's drain lapses.
+        self.open_handlers: set[object] = set()
+        # Whether another host has copies of the records and continues
+        # the runs that are open when this host's drain times out.
         self.hands_over = False
         self.peers: peer_node.PeerNode | None = None
         self._index = manifest_index_module.ManifestIndex(manifest=None)
@@ -109,8 +109,8 @@
         self.watch = manifest_watch.ManifestWatch(
             settings=settings,
             http=self.http,
-            on_manifest=self._in_force,
-            hosts_ahead=self._hosts_ahead,
+            on_manifest=self._set_manifest,
+            hosts_ahead=self._hosts_with_newer,
         )
 
     def __repr__(self) -> str:
@@ -118,24 +118,28 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this host takes new work."""
+        """Whether this host accepts new requests."""
         if self.draining or self.watch.refuses_work(time.monotonic()):
             return False
         return self.peers is None or self.peers.copies.may_serve
 
     @property
     def in_progress(self) -> int:
-        """Requests that have not ended."""
+        """Number of requests that have not ended."""
         return len(self._open)
 
     @property
-    def _pending(self) -> set[asyncio.Task[typing.Any]]:
+    def _open_tasks(self) -> set[asyncio.Task[typing.Any]]:
         runs = {live.task for live in self._open if live.task is not None}
         return runs | self.services.tasks
 
     @property
     def manifest_index(self) -> manifest_index_module.ManifestIndex:
-        """Look-ups in the manifest in force."""
+        """Index of the manifest in force.
+
+        After a manifest has changed, the first access rebuilds the index
+        and passes the manifest's policy to the scheduler.
+        """
         if self._index.manifest is not self.manifest:
             self._index = manifest_index_module.ManifestIndex(
                 manifest=self.manifest
@@ -149,8 +153,8 @@
     def knows_model(self, name: str) -> bool:
         """Whether the manifest or a runner names the model.
 
-        A host that has heard of nothing yet cannot tell a wrong name
-        from an early one.
+        A host without a manifest and without runners accepts any name,
+        because a runner that serves the model may announce itself later.
         """
         if self.manifest_index.has_model(name):
             return True
@@ -159,14 +163,21 @@
         return any(name in body.models for body in self.runners.all())
 
     def join_peers(self, url: str) -> None:
-        """Become one of the entry hosts, reached at an address."""
+        """Join the group of entry hosts.
+
+        Parameters
+        ----------
+        url : str
+            Address at which the other hosts reach this one, unless the
+            settings give one.
+        """
         self.peers = peer_node.PeerNode(
             settings=self.settings,
             url=self.settings.peers.url or url,
             http=self.http,
             engines=self.engines,
             records=self.records,
-            adopt=self._adopt,
+            adopt=self._take_over,
             abandon=self._abandon,
         )
         self.grants = self.peers.grants
@@ -176,20 +187,25 @@
         self.peers.start()
 
     def start(self) -> None:
-        """Start the periodic work."""
+        """Start the periodic tasks."""
         self._ticker = asyncio.create_task(self._tick())
         self.watch.start()
 
     async def drain(self) -> None:
-        """Let all that is in progress end, within the time limit."""
+        """Refuse new requests and end the open ones.
+
+        Open requests may complete within ``drain_timeout_s``. The others
+        are then handed over to another host if there is one, and are
+        cancelled here.
+        """
         self.draining = True
         if self.peers is not None:
             self.peers.start_leaving()
         loop = asyncio.get_running_loop()
         until_s = loop.time() + self.settings.drain_timeout_s
-        while self._pending and loop.time() < until_s:
+        while self._open_tasks and loop.time() < until_s:
             await asyncio.wait(
-                self._pending,
+                self._open_tasks,
                 timeout=until_s - loop.time(),
                 return_when=asyncio.FIRST_COMPLETED,
             )
@@ -201,20 +217,23 @@
         free_s = min(FREE_TIMEOUT_S, self.settings.drain_timeout_s)
         if tasks:
             await asyncio.wait(tasks, timeout=free_s)
-        await self.freer.drain(free_s)
+        await self.canceller.drain(free_s)
+
+    async def wait_for_callers(self) -> None:
+        """Wait until all answers and errors are written to the callers.
 
-    async def callers_done(self) -> None:
-        """Wait until callers have been told how it ended."""
+        Gives up after ``write_stall_s``.
+        """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + self.settings.write_stall_s
         while loop.time() < until_s:
             attached = any(live.attached for live in self.records)
-            if not attached and not self.exchanges:
+            if not attached and not self.open_handlers:
                 return
             await asyncio.sleep(CALLERS_POLL_S)
 
     async def stop(self) -> None:
-        """Stop the periodic work."""
+        """Leave the group, stop the periodic tasks and close exports."""
         if self._ticker is not None:
             self._ticker.cancel()
         self.watch.stop()
@@ -225,8 +244,10 @@
         self._recorder.close()
         await asyncio.to_thread(self.exports.close)
 
-    def announced(self, body: announcement.AnnouncementBody) -> None:
-        """Take a runner's announcement."""
+    def receive_announcement(
+        self, body: announcement.AnnouncementBody
+    ) -> None:
+        """Pass a runner's announcement to all parts that use it."""
         now_s = time.monotonic()
         if body.runner_id in self.drained_runners:
             body = body.model_copy(update={'leaving': True})
@@ -234,18 +255,20 @@
             LOG.info('runner %s announced as %s', body.runner_id, body.role)
         if self.peers is not None:
             self.peers.announced(body)
-        self.scheduler.announced(body)
+        self.scheduler.receive_announcement(body)
 
     def drain_runner(self, runner_id: str) -> None:
-        """Give a runner no new work, now and when it announces again."""
+        """Send a runner no new requests, also after it announces again."""
         self.drained_runners.add(runner_id)
         LOG.info('runner %s drained by an operator', runner_id)
         body = self.runners.get(runner_id)
         if body is not None:
-            self.announced(body.model_copy(update={'cache_events': []}))
+            self.receive_announcement(
+                body.model_copy(update={'cache_events': []})
+            )
 
     def undrain_runner(self, runner_id: str) -> None:
-        """Give it work again from its next announcement on."""
+        """Send a runner requests again after its next announcement."""
         self.drained_runners.discard(runner_id)
         LOG.info('runner %s given work again', runner_id)
 
@@ -269,7 +292,7 @@
             record=record,
             shape=shape,
             include_usage=request.include_usage,
-            on_end=self._ended,
+            on_end=self._on_end,
         )
         live.arrived_s = asyncio.get_running_loop().time()
         self.records.add(live)
@@ -284,31 +307,31 @@
         self,
         request: run_request.RunRequest,
         live: live_record.LiveRecord,
-        tries: int,
+        prior_attempts: int,
     ) -> run_task.RunTask:
         return run_task.RunTask(
             request=request,
             item=self._work(request, live.arrived_s),
             live=live,
-            tools=self._run_tools(),
-            tries=tries,
+            context=self._run_context(),
+            prior_attempts=prior_attempts,
         )
 
-    def _run_tools(self) -> run_tools.RunTools:
+    def _run_context(self) -> run_context.RunContext:
         peers = self.peers
-        return run_tools.RunTools(
+        return run_context.RunContext(
             scheduler=self.scheduler,
             engines=self.engines,
             grants=self.grants,
-            freer=self.freer,
+            canceller=self.canceller,
             meters=self.meters,
             hops=self.hops,
             settings=self.settings,
             copy=None if peers is None else peers.copies.ensure,
         )
 
-    def _adopt(self, copied: copy_holder.CopiedRecord) -> None:
-        """Go on with a request whose entry host is gone."""
+    def _take_over(self, copied: copy_holder.CopiedRecord) -> None:
+        """Continue a request whose entry host was lost."""
         assert self.peers is not None
         record = copied.restore()
         request = run_request.from_copy(copied.facts)
@@ -320,27 +343,27 @@
                 chat=request.chat,
             ),
             include_usage=request.include_usage,
-            on_end=self._ended,
+            on_end=self._on_end,
         )
         live.arrived_s = asyncio.get_running_loop().time()
         self.records.add(live)
         self.peers.copies.own(live, request)
         if record.end is not None:
-            self.records.ended(live, time.monotonic())
+            self.records.note_ended(live, time.monotonic())
             return
         self._open.add(live)
-        task = adopted_run.AdoptedRun(
+        task = taken_over_run.TakenOverRun(
             request=request,
             live=live,
-            tools=self._run_tools(),
+            context=self._run_context(),
             runner=copied.progress.runner,
-            go_on=functools.partial(self._run_task, request, live),
+            make_task=functools.partial(self._run_task, request, live),
         )
         live.task = asyncio.create_task(task.run())
         live.await_caller(self.settings.resume_grace_s)
 
     def _abandon(self) -> None:
-        """Let go of all records; another host may have them by now."""
+        """Drop all records, which another host may have taken over."""
         assert self.peers is not None
         for live in self.records:
             self.peers.copies.sender.let_go(live.record.request_id)
@@ -350,7 +373,7 @@
             live.wake()
 
     async def _hand_over(self) -> None:
-        """Let the heir go on with what did not end in time."""
+        """Hand the open requests over to this host's successor."""
         if self.peers is None or not self._open:
             return
         copies = self.peers.copies
@@ -361,19 +384,19 @@
         for live in self._open:
             copies.sender.let_go(live.record.request_id)
 
-    def _in_force(self, body: manifest_module.ManifestBody) -> None:
+    def _set_manifest(self, body: manifest_module.ManifestBody) -> None:
         self.manifest = body
         if self.peers is not None:
             self.peers.manifest_in_force(body.number)
 
-    def _hosts_ahead(self, number: int) -> list[str]:
+    def _hosts_with_newer(self, number: int) -> list[str]:
         return [] if self.peers is None else self.peers.ahead_of(number)
 
     def _work(
         self, request: run_request.RunRequest, now_s: float
     ) -> work.Work:
         prompt = request.prompt.encode()
-        targets = latency_targets.in_force(self.manifest, self.settings)
+        targets = latency_targets.current(self.manifest, self.settings)
         return work.Work(
             work_id=request.request_id,
             team=request.team,
@@ -389,15 +412,15 @@
             key=_digest(f'{request.team}/{request.key}'),
         )
 
-    def _ended(self, live: live_record.LiveRecord) -> None:
+    def _on_end(self, live: live_record.LiveRecord) -> None:
         self._open.discard(live)
-        self.records.ended(live, time.monotonic())
+        self.records.note_ended(live, time.monotonic())
         end = live.record.end
         assert end is not None
         if end.kind is run_end.EndKind.NOT_RUN:
             self.meters.refused(end.finish_reason)
-        targets = latency_targets.in_force(self.manifest, self.settings)
-        good = targets.judge(live, self.meters)
+        targets = latency_targets.current(self.manifest, self.settings)
+        good = targets.measure(live, self.meters)
         self.meters.ended(str(end.kind), good=good)
 
     async def _tick(self) -> None:
@@ -413,10 +436,10 @@
 
 
 def new_request_id() -> str:
-    """Return an id that cannot be guessed."""
+    """Return a random request id that cannot be guessed."""
     return f'req-{secrets.token_urlsafe(18)}'
 
 
 def _digest(text: str) -> str:
-    # A recorded trace must not show a caller's own key.
+    # A recorded trace must not contain a caller's idempotency key.
     return hashlib.sha256(text.encode()).hexdigest()
