--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -34,7 +34,7 @@
 from limpetroute.entry.runs import run_tools
 from limpetroute.entry.runs import scheduler as scheduler_module
 from limpetroute.entry.services import control_claims
-from limpetroute.entry.services import service_desk
+from limpetroute.entry.services import service_dispatcher
 from limpetroute.peers import copy_holder
 from limpetroute.peers import request_record
 from limpetroute.peers import run_end
@@ -83,7 +83,7 @@
             settings, self.http
         )
         self.drained_runners: set[str] = set()
-        self.services = service_desk.ServiceDesk(
+        self.services = service_dispatcher.ServiceDispatcher(
             host=self,
             host_id=settings.host_id,
             pool=service_pool.ServicePool(
--- a/limpetroute/entry/services/service_desk.py
+++ b/limpetroute/entry/services/service_dispatcher.py
@@ -23,7 +23,7 @@
         """Whether new work is taken."""
 
 
-class ServiceDesk:
+class ServiceDispatcher:
     """Makes calls, and knows which are in progress.
 
     Parameters
