--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -275,7 +275,7 @@
         self.records.add(live)
         self._open.add(live)
         if self.peers is not None:
-            self.peers.copies.own(live, request)
+            self.peers.copies.add_record(live, request)
         task = self._run_task(request, live, 0)
         live.task = asyncio.create_task(task.run())
         return live
@@ -324,7 +324,7 @@
         )
         live.arrived_s = asyncio.get_running_loop().time()
         self.records.add(live)
-        self.peers.copies.own(live, request)
+        self.peers.copies.add_record(live, request)
         if record.end is not None:
             self.records.ended(live, time.monotonic())
             return
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -101,7 +101,7 @@
         """Whether this host holds the lease on its own records."""
         return self._fence is not None and peer_clock.clock_s() < self._until_s
 
-    def own(
+    def add_record(
         self,
         live: live_record.LiveRecord,
         request: run_request.RunRequest,
