--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -170,7 +170,7 @@
             abandon=self._abandon,
         )
         self.grants = self.peers.grants
-        self.records.on_discard = self.peers.copies.forget
+        self.records.on_discard = self.peers.copies.drop_copy
         if self.manifest is not None:
             self.peers.manifest_in_force(self.manifest.number)
         self.peers.start()
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -123,7 +123,7 @@
             )
         )
 
-    def forget(self, request_id: str) -> None:
+    def drop_copy(self, request_id: str) -> None:
         """Have the copy of a record dropped."""
         self.sender.forget(request_id)
 
