--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -367,7 +367,7 @@
             self.peers.manifest_in_force(body.number)
 
     def _hosts_ahead(self, number: int) -> list[str]:
-        return [] if self.peers is None else self.peers.ahead_of(number)
+        return [] if self.peers is None else self.peers.urls_with_newer_manifest(number)
 
     def _work(
         self, request: run_request.RunRequest, now_s: float
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -183,7 +183,7 @@
         """Tell the others which manifest this host has in force."""
         self.members.offer_value(MANIFEST, number)
 
-    def ahead_of(self, number: int) -> list[str]:
+    def urls_with_newer_manifest(self, number: int) -> list[str]:
         """Return addresses of hosts that have a newer manifest."""
         return [
             url
