--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -172,7 +172,7 @@
         self.grants = self.peers.grants
         self.records.on_discard = self.peers.copies.drop_copy
         if self.manifest is not None:
-            self.peers.manifest_in_force(self.manifest.number)
+            self.peers.publish_manifest_number(self.manifest.number)
         self.peers.start()
 
     def start(self) -> None:
@@ -364,7 +364,7 @@
     def _in_force(self, body: manifest_module.ManifestBody) -> None:
         self.manifest = body
         if self.peers is not None:
-            self.peers.manifest_in_force(body.number)
+            self.peers.publish_manifest_number(body.number)
 
     def _hosts_ahead(self, number: int) -> list[str]:
         return [] if self.peers is None else self.peers.urls_with_newer_manifest(number)
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -179,7 +179,7 @@
             if item.host_id != self.host_id and item.host_id not in gone
         }
 
-    def manifest_in_force(self, number: int) -> None:
+    def publish_manifest_number(self, number: int) -> None:
         """Tell the others which manifest this host has in force."""
         self.members.offer_value(MANIFEST, number)
 
