--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -304,7 +304,7 @@
             meters=self.meters,
             hops=self.hops,
             settings=self.settings,
-            copy=None if peers is None else peers.copies.ensure,
+            copy=None if peers is None else peers.copies.ensure_copied,
         )
 
     def _adopt(self, copied: copy_holder.CopiedRecord) -> None:
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -112,7 +112,7 @@
         fence = self._fence
         record = live.record
         record.may_deliver = lambda: self._is_current(fence)
-        live.before_end = self.ensure
+        live.before_end = self.ensure_copied
         details = dataclasses.asdict(request)
         details['stream'] = stream
         self.sender.add(
@@ -127,7 +127,7 @@
         """Have the copy of a record dropped."""
         self.sender.forget(request_id)
 
-    async def ensure(self, live: live_record.LiveRecord) -> None:
+    async def ensure_copied(self, live: live_record.LiveRecord) -> None:
         """Return once the record's newest state is at the heir.
 
         With no other host alive there is nobody to copy to: the answer
