--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -21,7 +21,7 @@
 
 HOST = 'host:'
 MAX_COPY_TRIES = 3
-Adopt = typing.Callable[[copy_holder.CopiedRecord], None]
+TakeOverRecord = typing.Callable[[copy_holder.CopiedRecord], None]
 Abandon = typing.Callable[[], None]
 
 
@@ -65,7 +65,7 @@
         url_of: typing.Callable[[str], str | None],
         costs: zone_cost.ZoneCosts,
         fence_floor: int,
-        adopt: Adopt,
+        adopt: TakeOverRecord,
         abandon: Abandon,
         epoch_of: typing.Callable[[str], int],
         new_epoch: typing.Callable[[int], None],
@@ -82,7 +82,7 @@
         self._url_of = url_of
         self._costs = costs
         self._fence_floor = fence_floor
-        self._adopt = adopt
+        self._take_over_record = adopt
         self._abandon = abandon
         self._fence: int | None = None
         self._until_s = 0.0
@@ -262,7 +262,7 @@
             LOG.info('took %d records over from %s', len(found), owner)
             for copied in found:
                 self.taken_over += 1
-                self._adopt(copied)
+                self._take_over_record(copied)
         else:
             LOG.info('dropped old copies of %s', owner)
             self.copies.drop(owner)
