--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -22,7 +22,7 @@
 HOST = 'host:'
 MAX_COPY_TRIES = 3
 TakeOverRecord = typing.Callable[[copy_holder.CopiedRecord], None]
-Abandon = typing.Callable[[], None]
+AbandonRecords = typing.Callable[[], None]
 
 
 class PeerCopies:
@@ -66,7 +66,7 @@
         costs: zone_cost.ZoneCosts,
         fence_floor: int,
         adopt: TakeOverRecord,
-        abandon: Abandon,
+        abandon: AbandonRecords,
         epoch_of: typing.Callable[[str], int],
         new_epoch: typing.Callable[[int], None],
     ) -> None:
@@ -83,7 +83,7 @@
         self._costs = costs
         self._fence_floor = fence_floor
         self._take_over_record = adopt
-        self._abandon = abandon
+        self._abandon_records = abandon
         self._fence: int | None = None
         self._until_s = 0.0
         self._sending = asyncio.Lock()
@@ -186,7 +186,7 @@
         if self._fence is not None and fence != self._fence:
             LOG.warning('lease on own records lapsed: %s', self._owner)
             self._fence = None
-            self._abandon()
+            self._abandon_records()
             self._start_epoch()
             return
         if held is not None:
