--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -99,7 +99,7 @@
             rng=random.Random(f'{host_id}@{self._started_ms}'),
         )
         grants = _grant_config(settings)
-        self.desk = grant_desk.GrantDesk(
+        self.grant_coordinator = grant_desk.GrantDesk(
             host_id=host_id,
             zone=settings.zone,
             voters=peers.voters,
@@ -113,7 +113,7 @@
         )
         self.grants = peer_grants.PeerGrants(
             host_id=host_id,
-            desk=self.desk,
+            desk=self.grant_coordinator,
             calls=self.calls,
             url_of=self.url_of,
             config=grants,
@@ -122,7 +122,7 @@
             host_id=host_id,
             zone=settings.zone,
             name=f'{host_id}@{self._started_ms}',
-            leases=self.desk.leases,
+            leases=self.grant_coordinator.leases,
             calls=self.calls,
             url_of=self.url_of,
             costs=_zone_costs(peers),
@@ -140,7 +140,7 @@
             urls=self.other_urls,
         )
         self.reaper = peer_reaper.PeerReaper(
-            desk=self.desk,
+            desk=self.grant_coordinator,
             calls=self.calls,
             engines=engines,
             own_runs=self._own_runs,
@@ -215,7 +215,7 @@
             runs=frozenset(body.report.runs),
             leaving=body.leaving,
         )
-        self.desk.on_report(report, now_s)
+        self.grant_coordinator.on_report(report, now_s)
 
     def status(self) -> dict[str, typing.Any]:
         """Return plain values for operators."""
@@ -248,8 +248,8 @@
                     'free_slots': book.free_slots,
                     'grants': len(book.grants),
                 }
-                for book in self.desk.books
-                if self.desk.holds(book.runner_id, now_s)
+                for book in self.grant_coordinator.books
+                if self.grant_coordinator.holds(book.runner_id, now_s)
             },
             'calls': dict(self.calls.counts),
         }
@@ -271,7 +271,7 @@
     def start_leaving(self) -> None:
         """Take no new work; hand leases of runners over."""
         self.members.start_leaving()
-        self.desk.leaving = True
+        self.grant_coordinator.leaving = True
 
     async def leave(self) -> None:
         """Give the records to the heir and say goodbye."""
@@ -309,8 +309,8 @@
         for send in self.members.tick(now_s):
             self._spawn(self._send_member(send))
         view = self.members.view(now_s)
-        self.desk.set_hosts({item.host_id: item.zone for item in view.working})
-        for item in self.desk.tick(now_s, fence_floor=self._started_ms):
+        self.grant_coordinator.set_hosts({item.host_id: item.zone for item in view.working})
+        for item in self.grant_coordinator.tick(now_s, fence_floor=self._started_ms):
             self._send_desk(item, now_s)
         self.copies.check_lease()
         self.copies.choose_heir(view)
@@ -340,8 +340,8 @@
             self._spawn(self._send_hand_over(item.host_id, message))
             return
         if item.host_id == self.host_id:
-            vote = self.desk.voter.vote(message, now_s)
-            self.desk.on_vote(vote, now_s)
+            vote = self.grant_coordinator.voter.vote(message, now_s)
+            self.grant_coordinator.on_vote(vote, now_s)
             return
         self._spawn(self._send_ask(item.host_id, message))
 
@@ -358,7 +358,7 @@
             lease_codec.decode_vote,
         )
         if vote is not None:
-            self.desk.on_vote(vote, peer_clock.clock_s())
+            self.grant_coordinator.on_vote(vote, peer_clock.clock_s())
 
     async def _send_hand_over(
         self, host_id: str, message: hand_over.HandOver
@@ -368,7 +368,7 @@
             return
         body = peer_codec.HAND_OVER.encode(message)
         if await self.calls.post(url, 'hand_over', body) is not None:
-            self.desk.on_handed(message.runner_id)
+            self.grant_coordinator.on_handed(message.runner_id)
 
     def _spawn(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
@@ -416,22 +416,22 @@
         return take(data)
 
     def _take_ask(self, data: bytes) -> bytes:
-        vote = self.desk.voter.vote(
+        vote = self.grant_coordinator.voter.vote(
             lease_codec.decode_ask(data), peer_clock.clock_s()
         )
         return lease_codec.encode_vote(vote)
 
     def _take_hand_over(self, data: bytes) -> bytes:
-        self.desk.on_hand_over(peer_codec.HAND_OVER.decode(data))
+        self.grant_coordinator.on_hand_over(peer_codec.HAND_OVER.decode(data))
         return b''
 
     def _take_grant(self, data: bytes) -> bytes:
         call = peer_codec.GRANT_CALL.decode(data)
         now_s = peer_clock.clock_s()
         if call.release:
-            self.desk.release(call.runner_id, call.asked.work_id, now_s)
+            self.grant_coordinator.release(call.runner_id, call.asked.work_id, now_s)
             return b''
-        got = self.desk.acquire(
+        got = self.grant_coordinator.acquire(
             call.runner_id, call.asked, now_s, again=call.again
         )
         return peer_codec.GRANT_REPLY.encode(peer_codec.grant_reply(got))
