--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -166,8 +166,8 @@
             http=self.http,
             engines=self.engines,
             records=self.records,
-            adopt=self._adopt,
-            abandon=self._abandon,
+            take_over_record=self._adopt,
+            abandon_records=self._abandon,
         )
         self.grants = self.peers.grants
         self.records.on_discard = self.peers.copies.drop_copy
@@ -367,7 +367,11 @@
             self.peers.publish_manifest_number(body.number)
 
     def _hosts_ahead(self, number: int) -> list[str]:
-        return [] if self.peers is None else self.peers.urls_with_newer_manifest(number)
+        return (
+            []
+            if self.peers is None
+            else self.peers.urls_with_newer_manifest(number)
+        )
 
     def _work(
         self, request: run_request.RunRequest, now_s: float
--- a/limpetroute/entry/peering/peer_calls.py
+++ b/limpetroute/entry/peering/peer_calls.py
@@ -58,7 +58,7 @@
             return None
         return got.body
 
-    async def ask(
+    async def post_and_decode(
         self,
         url: str,
         name: str,
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -44,9 +44,9 @@
         Times between zones.
     fence_floor : int
         Lowest fencing number of this process.
-    adopt : callable
+    take_over_record : callable
         Goes on with a record of a dead owner.
-    abandon : callable
+    abandon_records : callable
         Stops all that belongs to records another host may have by now.
     epoch_of : callable
         Returns the epoch that a host said it is in.
@@ -65,8 +65,8 @@
         url_of: typing.Callable[[str], str | None],
         costs: zone_cost.ZoneCosts,
         fence_floor: int,
-        adopt: TakeOverRecord,
-        abandon: AbandonRecords,
+        take_over_record: TakeOverRecord,
+        abandon_records: AbandonRecords,
         epoch_of: typing.Callable[[str], int],
         new_epoch: typing.Callable[[int], None],
     ) -> None:
@@ -82,8 +82,8 @@
         self._url_of = url_of
         self._costs = costs
         self._fence_floor = fence_floor
-        self._take_over_record = adopt
-        self._abandon_records = abandon
+        self._take_over_record = take_over_record
+        self._abandon_records = abandon_records
         self._fence: int | None = None
         self._until_s = 0.0
         self._sending = asyncio.Lock()
@@ -160,7 +160,7 @@
         url = self._url_of(heir_id)
         if url is None:
             return False
-        reply = await self._calls.ask(
+        reply = await self._calls.post_and_decode(
             url,
             'copies',
             peer_codec.COPY_BATCH.encode(batch),
--- a/limpetroute/entry/peering/peer_grants.py
+++ b/limpetroute/entry/peering/peer_grants.py
@@ -22,7 +22,7 @@
     ----------
     host_id : str
         This host.
-    desk : GrantDesk
+    coordinator : GrantDesk
         This host's part in granting.
     calls : PeerCalls
         Calls to other hosts.
@@ -34,7 +34,7 @@
 
     __slots__ = (
         '_calls',
-        '_desk',
+        '_coordinator',
         '_host_id',
         '_released',
         '_renewing',
@@ -47,13 +47,13 @@
         self,
         *,
         host_id: str,
-        desk: grant_desk.GrantDesk,
+        coordinator: grant_desk.GrantDesk,
         calls: peer_calls.PeerCalls,
         url_of: typing.Callable[[str], str | None],
         config: grant_config.GrantConfig,
     ) -> None:
         self._host_id = host_id
-        self._desk = desk
+        self._coordinator = coordinator
         self._calls = calls
         self._url_of = url_of
         self._renewing: set[tuple[str, str]] = set()
@@ -89,7 +89,7 @@
         if (runner_id, work_id) in self._renewing:
             self._released.add((runner_id, work_id))
         if line.holder_id == self._host_id:
-            self._desk.release(runner_id, work_id, peer_clock.clock_s())
+            self._coordinator.release(runner_id, work_id, peer_clock.clock_s())
             return
         self._spawn(self._release(line))
 
@@ -102,7 +102,7 @@
         now_s = peer_clock.clock_s()
         holders = {}
         for runner_id in {line.runner_id for line in self.ledger.lines()}:
-            holder_id = self._desk.holder_of(runner_id, now_s)
+            holder_id = self._coordinator.holder_of(runner_id, now_s)
             if holder_id:
                 holders[runner_id] = holder_id
         for line in self.ledger.due(now_s, holders):
@@ -128,7 +128,7 @@
         self, runner_id: str, asked: grant.Grant, *, again: bool
     ) -> grant.GrantAnswer:
         asked_s = peer_clock.clock_s()
-        holder_id = self._desk.holder_of(runner_id, asked_s)
+        holder_id = self._coordinator.holder_of(runner_id, asked_s)
         got: grant.GrantAnswer = grant.NotHolder()
         for _ in range(MAX_HOPS):
             got = await self._ask_one(holder_id, runner_id, asked, again)
@@ -155,7 +155,7 @@
         again: bool,
     ) -> grant.GrantAnswer:
         if holder_id == self._host_id:
-            return self._desk.acquire(
+            return self._coordinator.acquire(
                 runner_id, asked, peer_clock.clock_s(), again=again
             )
         url = self._url_of(holder_id)
@@ -164,7 +164,7 @@
         call = peer_codec.GrantCall(
             runner_id=runner_id, asked=asked, again=again
         )
-        reply = await self._calls.ask(
+        reply = await self._calls.post_and_decode(
             url,
             'grants',
             peer_codec.GRANT_CALL.encode(call),
--- a/limpetroute/entry/peering/peer_lookup.py
+++ b/limpetroute/entry/peering/peer_lookup.py
@@ -155,7 +155,7 @@
         urls = self._urls()
         body = peer_codec.LOOKUP_CALL.encode(call)
         asks = [
-            self._calls.ask(
+            self._calls.post_and_decode(
                 url, 'lookup', body, peer_codec.LOOKUP_REPLY.decode
             )
             for url in urls.values()
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -61,9 +61,9 @@
         Clients of the runners.
     records : RecordStore
         Records of this host.
-    adopt : callable
+    take_over_record : callable
         Goes on with a record of a dead owner.
-    abandon : callable
+    abandon_records : callable
         Stops all that belongs to records another host may have by now.
     """
 
@@ -75,8 +75,8 @@
         http: caller.Caller,
         engines: engine_pool.EnginePool,
         records: record_store.RecordStore,
-        adopt: typing.Callable[[copy_holder.CopiedRecord], None],
-        abandon: typing.Callable[[], None],
+        take_over_record: typing.Callable[[copy_holder.CopiedRecord], None],
+        abandon_records: typing.Callable[[], None],
     ) -> None:
         peers = settings.peers
         self._settings = settings
@@ -113,7 +113,7 @@
         )
         self.grants = peer_grants.PeerGrants(
             host_id=host_id,
-            desk=self.grant_coordinator,
+            coordinator=self.grant_coordinator,
             calls=self.calls,
             url_of=self.url_of,
             config=grants,
@@ -127,8 +127,8 @@
             url_of=self.url_of,
             costs=_zone_costs(peers),
             fence_floor=self._started_ms,
-            adopt=adopt,
-            abandon=abandon,
+            take_over_record=take_over_record,
+            abandon_records=abandon_records,
             epoch_of=self._epoch_of,
             new_epoch=self._new_epoch,
         )
@@ -140,7 +140,7 @@
             urls=self.other_urls,
         )
         self.reaper = peer_reaper.PeerReaper(
-            desk=self.grant_coordinator,
+            coordinator=self.grant_coordinator,
             calls=self.calls,
             engines=engines,
             own_runs=self._own_runs,
@@ -309,9 +309,13 @@
         for send in self.members.tick(now_s):
             self._spawn(self._send_member(send))
         view = self.members.view(now_s)
-        self.grant_coordinator.set_hosts({item.host_id: item.zone for item in view.working})
-        for item in self.grant_coordinator.tick(now_s, fence_floor=self._started_ms):
-            self._send_desk(item, now_s)
+        self.grant_coordinator.set_hosts(
+            {item.host_id: item.zone for item in view.working}
+        )
+        for item in self.grant_coordinator.tick(
+            now_s, fence_floor=self._started_ms
+        ):
+            self._send_grant_message(item, now_s)
         self.copies.check_lease()
         self.copies.choose_heir(view)
         self.copies.take_over(view)
@@ -334,7 +338,9 @@
         if got:
             self._take_member(got)
 
-    def _send_desk(self, item: grant_desk.DeskSend, now_s: float) -> None:
+    def _send_grant_message(
+        self, item: grant_desk.DeskSend, now_s: float
+    ) -> None:
         message = item.message
         if isinstance(message, hand_over.HandOver):
             self._spawn(self._send_hand_over(item.host_id, message))
@@ -351,7 +357,7 @@
         url = self.url_of(host_id)
         if url is None:
             return
-        vote = await self.calls.ask(
+        vote = await self.calls.post_and_decode(
             url,
             'leases',
             lease_codec.encode_ask(message),
@@ -429,7 +435,9 @@
         call = peer_codec.GRANT_CALL.decode(data)
         now_s = peer_clock.clock_s()
         if call.release:
-            self.grant_coordinator.release(call.runner_id, call.asked.work_id, now_s)
+            self.grant_coordinator.release(
+                call.runner_id, call.asked.work_id, now_s
+            )
             return b''
         got = self.grant_coordinator.acquire(
             call.runner_id, call.asked, now_s, again=call.again
--- a/limpetroute/entry/peering/peer_reaper.py
+++ b/limpetroute/entry/peering/peer_reaper.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    desk : GrantDesk
+    coordinator : GrantDesk
         Knows the runners and who holds them.
     calls : PeerCalls
         Calls to other hosts.
@@ -40,7 +40,7 @@
     __slots__ = (
         '_calls',
         '_copies',
-        '_desk',
+        '_coordinator',
         '_engines',
         '_own_runs',
         '_reaper',
@@ -50,14 +50,14 @@
     def __init__(
         self,
         *,
-        desk: grant_desk.GrantDesk,
+        coordinator: grant_desk.GrantDesk,
         calls: peer_calls.PeerCalls,
         engines: engine_pool.EnginePool,
         own_runs: typing.Callable[[], set[str]],
         copies: copy_holder.CopyHolder,
         grace_s: float,
     ) -> None:
-        self._desk = desk
+        self._coordinator = coordinator
         self._calls = calls
         self._engines = engines
         self._own_runs = own_runs
@@ -82,8 +82,8 @@
         now_s = peer_clock.clock_s()
         reports = [
             report
-            for report in self._desk.reports()
-            if report.runs and self._desk.holds(report.runner_id, now_s)
+            for report in self._coordinator.reports()
+            if report.runs and self._coordinator.holds(report.runner_id, now_s)
         ]
         runs = sorted({run for report in reports for run in report.runs})
         if not runs:
@@ -99,7 +99,7 @@
                 unsure=unsure,
                 now_s=now_s,
             )
-            if self._desk.holds(report.runner_id, now_s):
+            if self._coordinator.holds(report.runner_id, now_s):
                 await self._end(report.runner_id, due)
 
     async def _ask_all(
@@ -111,7 +111,7 @@
         me = view.claims[0].host_id
         gone = set(view.gone)
         asks = [
-            self._calls.ask(
+            self._calls.post_and_decode(
                 item.url, 'claims', body, peer_codec.CLAIMS_REPLY.decode
             )
             for item in view.claims
