--- a/limpetroute/entry/callers/service_handler.py
+++ b/limpetroute/entry/callers/service_handler.py
@@ -78,7 +78,10 @@
             work = desk.repeatable(call)
         else:
             work = desk.once(
-                self.team, self._digest(call), call, made_key=self.key is None
+                self.team,
+                self._digest(call),
+                call,
+                key_is_generated=self.key is None,
             )
         # Only the wait is this handler's: a once-only call goes on in a
         # task of its own when its caller goes.
--- a/limpetroute/entry/services/__init__.py
+++ b/limpetroute/entry/services/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to plain services, repeatable and once-only."""
+"""Calls to plain services: retryable ones and at-most-once ones."""
--- a/limpetroute/entry/services/call_rules.py
+++ b/limpetroute/entry/services/call_rules.py
@@ -1,65 +1,71 @@
-"""Whether a call of a plain service may be repeated."""
+"""Rules that decide whether a call to a plain service may be retried."""
 
 import typing
 
 from limpetroute.border import manifest
 
 IDEMPOTENT_METHODS = frozenset({'GET', 'HEAD', 'PUT', 'DELETE'})
-ONE = '*'
-REST = '**'
+ANY_SEGMENT = '*'
+ANY_REMAINDER = '**'
 
 
 def is_repeatable(
     service: manifest.ServiceBody | None, method: str, path: str
 ) -> bool:
-    """Decide by the manifest's rules, and without one by the method.
+    """Whether a call to a service may be sent more than once.
 
-    Where several rules fit, a single one that says the call must not be
-    repeated wins: to be wrong that way costs a retry, to be wrong the
-    other way runs a release confirmation twice.
+    The manifest's rules decide; if no rule matches, the HTTP method
+    does. If several rules match, the call is repeatable only if all of
+    them allow it: wrongly forbidding a retry costs one retry, but
+    wrongly allowing it could run a release confirmation twice.
 
     Parameters
     ----------
     service : ServiceBody or None
-        The service's rules, if the manifest names it.
+        The service's entry in the manifest; None if it has none.
     method : str
         HTTP method.
     path : str
-        Decoded path at the service, without its query.
+        Decoded path at the service, without the query string.
     """
     rules = service.calls if service is not None else []
-    found = [
+    verdicts = [
         rule.repeatable
         for rule in rules
-        if rule.method == method and fits(rule.path, path)
+        if rule.method == method and path_matches(rule.path, path)
     ]
-    if found:
-        return all(found)
+    if verdicts:
+        return all(verdicts)
     return method in IDEMPOTENT_METHODS
 
 
-def fits(pattern: str, path: str) -> bool:
-    """Whether a path fits a pattern.
+def path_matches(pattern: str, path: str) -> bool:
+    """Whether a path matches a pattern.
 
-    ``*`` stands for one segment, ``**`` at the end for all that follow.
+    ``*`` matches one segment; ``**`` at the end of the pattern matches
+    any number of remaining segments.
     """
-    wanted = _segments(pattern)
-    given = _segments(path)
-    if wanted and wanted[-1] == REST:
-        wanted = wanted[:-1]
-        given = given[: len(wanted)]
-    if len(wanted) != len(given):
+    pattern_segments = _segments(pattern)
+    path_segments = _segments(path)
+    if pattern_segments and pattern_segments[-1] == ANY_REMAINDER:
+        pattern_segments = pattern_segments[:-1]
+        path_segments = path_segments[: len(pattern_segments)]
+    if len(pattern_segments) != len(path_segments):
         return False
     return all(
-        want in (ONE, got) for want, got in zip(wanted, given, strict=True)
+        expected in (ANY_SEGMENT, actual)
+        for expected, actual in zip(
+            pattern_segments, path_segments, strict=True
+        )
     )
 
 
 def is_plain(path: str) -> bool:
-    """Whether a decoded path means the same to every reader.
+    """Whether a decoded path is free of segments that servers normalize.
 
-    A service may take ``/a//release`` or ``/a/../release`` for
-    ``/release``, which another rule is meant for.
+    A service may treat ``/a//release`` or ``/a/../release`` as
+    ``/release``, so the rule that matched the path as sent would not be
+    the rule for the call that runs.
     """
     return not any(
         part in ('', '.', '..') or '\x00' in part for part in _segments(path)
--- a/limpetroute/entry/services/control_claims.py
+++ b/limpetroute/entry/services/control_claims.py
@@ -1,4 +1,4 @@
-"""Connects an entry host to the once-only claims."""
+"""Builds the claim store for at-most-once calls of an entry host."""
 
 from limpetroute.border import entry_settings
 from limpetroute.control import claim_store
@@ -10,7 +10,7 @@
 def build(
     settings: entry_settings.EntrySettings, http: caller.Caller
 ) -> claim_store.ClaimStore | None:
-    """Return a claim store, or None where no control host is set."""
+    """Return a claim store, or None if no control host is configured."""
     if not settings.control_urls:
         return None
     client = control_client.ControlClient(
--- a/limpetroute/entry/services/once_calls.py
+++ b/limpetroute/entry/services/once_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services that must run at most once."""
+"""Calls to plain services that must run at most once."""
 
 import asyncio
 import dataclasses
@@ -16,9 +16,9 @@
 
 CLAIM_TIMEOUT_S = 5.0
 SETTLE_TIMEOUT_S = 5.0
-# An answer waits for this long at most until it is kept; a control log
-# that can't be reached does not hold it back.
-KEPT_BEFORE_ANSWER_S = 0.5
+# Longest time that an answer is held back until its outcome is stored,
+# so that an unreachable control log does not delay answers for longer.
+MAX_STORE_WAIT_S = 0.5
 SETTLE_TRIES = 10
 SETTLE_PAUSE_S = 0.2
 MAX_TRIES = 3
@@ -27,24 +27,24 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Running:
+class _RunningCall:
     digest: str
     task: Task
 
 
 class OnceCalls:
-    """Claims, sends once, and keeps the answer.
+    """Makes at-most-once calls and stores their outcomes.
 
-    A release confirmation that runs twice is a complaint to the
-    regulator. So the claim is in the control log before the first byte
-    goes out; a call that may have run is never sent again, whatever
-    becomes of its answer. The call is not tied to its caller: it ends,
-    and its answer is kept, though the caller has gone.
+    A release confirmation that runs twice leads to a complaint to the
+    regulator. The claim on the key is therefore in the control log
+    before the first byte is sent, and a call that may have run is never
+    sent again, even if its answer is lost. If the caller disconnects,
+    the call still runs to its end and its answer is stored.
 
     Parameters
     ----------
     host_id : str
-        This host, as holder of the claims.
+        Id of this host, which holds the claims.
     pool : ServicePool
         Sends calls.
     """
@@ -56,7 +56,7 @@
     ) -> None:
         self._host_id = host_id
         self._pool = pool
-        self._running: dict[tuple[str, str], _Running] = {}
+        self._running: dict[tuple[str, str], _RunningCall] = {}
         self._settling: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
@@ -64,7 +64,7 @@
 
     @property
     def tasks(self) -> set[asyncio.Task[object]]:
-        """What must end before the process exits."""
+        """Tasks that must end before the process exits."""
         found: set[asyncio.Task[object]] = set(self._settling)
         found.update(item.task for item in self._running.values())
         return found
@@ -76,38 +76,42 @@
         team: str,
         digest: str,
         call: service_call.ServiceCall,
-        made_key: bool,
+        key_is_generated: bool,
         may_start: bool = True,
     ) -> service_outcome.ServiceOutcome:
-        """Make a call, or take the outcome of the one that was made.
+        """Make a call, or return the outcome of an earlier one.
 
         Parameters
         ----------
         claims : ClaimStore or None
-            Where claims are made; without one nothing is sent.
+            Store for the claims; if None, nothing is sent.
         team : str
-            The caller's team, inside which the key counts.
+            The caller's team; keys are unique within a team.
         digest : str
-            Digest of the whole call.
+            Digest of the service, method, path and body.
         call : ServiceCall
             The call.
-        made_key : bool
-            Whether this host made the key, so that no call before can
-            have had it.
+        key_is_generated : bool
+            Whether this host generated the key, so that no earlier call
+            can have used it.
         may_start : bool
-            Whether a call that nobody has made may be made now.
+            Whether a call that was not made before may be sent.
         """
-        place = team, call.key
-        running = self._running.get(place)
+        claim_key = team, call.key
+        running = self._running.get(claim_key)
         if running is None:
             if claims is None:
-                return _no_verdict('no_control', 1.0, made_key)
+                return _not_claimed('no_control', 1.0, key_is_generated)
             task = asyncio.create_task(
-                self._make(claims, team, digest, call, made_key, may_start)
+                self._make(
+                    claims, team, digest, call, key_is_generated, may_start
+                )
+            )
+            running = _RunningCall(digest=digest, task=task)
+            self._running[claim_key] = running
+            task.add_done_callback(
+                lambda _: self._running.pop(claim_key, None)
             )
-            running = _Running(digest=digest, task=task)
-            self._running[place] = running
-            task.add_done_callback(lambda _: self._running.pop(place, None))
         if running.digest != digest:
             return service_outcome.KeyReused()
         return await asyncio.shield(running.task)
@@ -118,32 +122,35 @@
         team: str,
         digest: str,
         call: service_call.ServiceCall,
-        made_key: bool,
+        key_is_generated: bool,
         may_start: bool,
     ) -> service_outcome.ServiceOutcome:
-        # The claim comes even before a refusal for want of a runner: only
-        # its verdict says that no earlier call under the key ran.
-        verdict = await claims.claim(
+        # The key is claimed even if the call will be refused for lack of
+        # a runner: only the claim's result shows whether an earlier call
+        # under the key ran.
+        claim = await claims.claim(
             team=team,
             key=call.key,
             body_digest=digest,
             holder=self._host_id,
             timeout_s=CLAIM_TIMEOUT_S,
         )
-        if isinstance(verdict, claim_store.ClaimNotMade):
-            return _no_verdict(verdict.reason, verdict.retry_after_s, made_key)
-        if isinstance(verdict, claim_store.ClaimFound):
-            return _found(verdict)
+        if isinstance(claim, claim_store.ClaimNotMade):
+            return _not_claimed(
+                claim.reason, claim.retry_after_s, key_is_generated
+            )
+        if isinstance(claim, claim_store.ClaimFound):
+            return _stored_outcome(claim)
         got: service_call.ServiceResult | None = None
         guard = send_guard.SendGuard()
         if may_start:
-            got = await self._send(call, verdict.fence, guard)
+            got = await self._send(call, claim.fence, guard)
         outcome = _outcome(got, guard, may_start=may_start)
         settling = self._settle(claims, team, call.key, outcome)
         if settling is not None:
-            # Who has the answer may repeat the call at another host, which
-            # knows only what the control log has.
-            await asyncio.wait({settling}, timeout=KEPT_BEFORE_ANSWER_S)
+            # A caller that has the answer may repeat the call at another
+            # host, which finds the outcome only in the control log.
+            await asyncio.wait({settling}, timeout=MAX_STORE_WAIT_S)
         return outcome
 
     async def _send(
@@ -152,7 +159,7 @@
         fence: int,
         guard: send_guard.SendGuard,
     ) -> service_call.ServiceResult | None:
-        """Send until a byte may have reached a runner, then no more."""
+        """Try runners until one may have run the call."""
         tried: set[str] = set()
         got: service_call.ServiceResult | None = None
         while len(tried) < MAX_TRIES:
@@ -176,15 +183,15 @@
         key: str,
         outcome: service_outcome.ServiceOutcome,
     ) -> asyncio.Task[None] | None:
-        """Begin to keep an outcome; None for one that is not known."""
+        """Start to store an outcome; return None if it is unknown."""
         if isinstance(outcome, service_outcome.Answered):
             reply = outcome.reply
             status, body = reply.status, stored_reply.encode(reply)
         elif isinstance(outcome, service_outcome.NotRun):
             status, body = stored_reply.NOT_SENT_STATUS, outcome.reason
         else:
-            # Left open: the claim without an outcome says for ever that
-            # the call may have run.
+            # The claim keeps no outcome, so later calls under the key are
+            # answered as possibly run.
             return None
         task = asyncio.create_task(_settle(claims, team, key, status, body))
         self._settling.add(task)
@@ -206,19 +213,19 @@
         if done:
             return
         await asyncio.sleep(SETTLE_PAUSE_S)
-    LOG.warning('the outcome of a once-only call was not kept')
+    LOG.warning('the outcome of an at-most-once call was not stored')
 
 
-def _no_verdict(
-    reason: str, retry_after_s: float, made_key: bool
+def _not_claimed(
+    reason: str, retry_after_s: float, key_is_generated: bool
 ) -> service_outcome.NotRun | service_outcome.Unknown:
-    """Return the outcome when the control log gave no verdict.
+    """Return the outcome if the key could not be claimed.
 
-    Nothing was sent now. But a caller's key may have run before, on
-    another host, and a caller who is told ``not_run`` for it would
-    release under a new key what was released already.
+    Nothing was sent now, but a call under a caller's own key may have
+    run earlier on another host. A caller that receives ``not_run`` for
+    it would repeat the release under a new key.
     """
-    if not made_key:
+    if not key_is_generated:
         return service_outcome.Unknown(
             reason=reason, retry_after_s=retry_after_s
         )
@@ -228,7 +235,8 @@
 def _not_run(
     reason: str, *, retry_after_s: float = 1.0, key_spent: bool = False
 ) -> service_outcome.NotRun:
-    # A guard of its own: this host has sent nothing for this call.
+    # A new guard gives the proof, because this host sent nothing for
+    # this call.
     proof = send_guard.SendGuard().not_run_proof()
     assert proof is not None
     return service_outcome.NotRun(
@@ -239,15 +247,17 @@
     )
 
 
-def _found(verdict: claim_store.ClaimFound) -> service_outcome.ServiceOutcome:
-    if not verdict.same_body:
+def _stored_outcome(
+    claim: claim_store.ClaimFound,
+) -> service_outcome.ServiceOutcome:
+    if not claim.same_body:
         return service_outcome.KeyReused()
-    if verdict.status is None:
+    if claim.status is None:
         return service_outcome.Unknown(reason='claimed_before')
-    if verdict.status == stored_reply.NOT_SENT_STATUS:
-        return _not_run(verdict.body, key_spent=True)
+    if claim.status == stored_reply.NOT_SENT_STATUS:
+        return _not_run(claim.body, key_spent=True)
     try:
-        return stored_reply.decode(verdict.status, verdict.body)
+        return stored_reply.decode(claim.status, claim.body)
     except (KeyError, TypeError, ValueError):
         return service_outcome.Unknown(reason='stored_answer_unreadable')
 
--- a/limpetroute/entry/services/repeatable_calls.py
+++ b/limpetroute/entry/services/repeatable_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services that may be sent more than once."""
+"""Calls to plain services that may be sent more than once."""
 
 import asyncio
 import dataclasses
@@ -11,18 +11,21 @@
 from limpetroute.telemetry import meters as meters_module
 
 MAX_TRIES = 3
-UNAVAILABLE = frozenset({502, 503, 504})
+RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
 
 class RepeatableCalls:
-    """Tries another runner, within a budget and the time limit.
+    """Retries calls on other runners.
+
+    The retry budget, ``MAX_TRIES`` and the call's time limit bound the
+    retries.
 
     Parameters
     ----------
     pool : ServicePool
         Sends calls.
     meters : Meters
-        Counts.
+        Counts retries.
     """
 
     __slots__ = ('_budget', '_meters', '_pool')
@@ -43,29 +46,29 @@
     async def call(
         self, call: service_call.ServiceCall
     ) -> service_outcome.ServiceOutcome:
-        """Make a call."""
+        """Send a call, and retry it on other runners if it fails."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + call.timeout_s
+        deadline_s = loop.time() + call.timeout_s
         guard = send_guard.SendGuard()
-        tried: set[str] = set()
+        tried_ids: set[str] = set()
         last: service_call.ServiceResult | None = None
         self._budget.fresh()
-        while len(tried) < MAX_TRIES:
-            left_s = until_s - loop.time()
-            runner = self._pool.pick(call.service, tried)
-            if runner is None or left_s <= 0:
+        while len(tried_ids) < MAX_TRIES:
+            remaining_s = deadline_s - loop.time()
+            runner = self._pool.pick(call.service, tried_ids)
+            if runner is None or remaining_s <= 0:
                 break
-            if tried and not self._budget.take():
+            if tried_ids and not self._budget.take():
                 break
-            if tried:
+            if tried_ids:
                 self._meters.retried('service')
-            tried.add(runner.runner_id)
+            tried_ids.add(runner.runner_id)
             guard.mark_sending()
             last = await self._pool.send(
-                runner, dataclasses.replace(call, timeout_s=left_s)
+                runner, dataclasses.replace(call, timeout_s=remaining_s)
             )
             if isinstance(last, service_call.ServiceReply):
-                if last.status not in UNAVAILABLE:
+                if last.status not in RETRYABLE_STATUSES:
                     break
                 continue
             if was_not_run(last):
@@ -76,7 +79,7 @@
 def was_not_run(
     result: service_call.ServiceRefused | service_call.ServiceFailed,
 ) -> bool:
-    """Whether the result itself shows that nothing ran."""
+    """Whether a result proves that the call did not run."""
     if isinstance(result, service_call.ServiceRefused):
         return True
     return not result.sent
--- a/limpetroute/entry/services/service_dispatcher.py
+++ b/limpetroute/entry/services/service_dispatcher.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, as the handlers make them."""
+"""Dispatches the HTTP handlers' calls to plain services."""
 
 import asyncio
 import typing
@@ -14,31 +14,31 @@
 
 
 class HostState(typing.Protocol):
-    """What the desk asks its host at each call."""
+    """State of the host that the dispatcher reads at each call."""
 
     claims: claim_store.ClaimStore | None
 
     @property
     def ready(self) -> bool:
-        """Whether new work is taken."""
+        """Whether the host accepts new requests."""
 
 
 class ServiceDispatcher:
-    """Makes calls, and knows which are in progress.
+    """Makes calls and tracks those in progress.
 
     Parameters
     ----------
     host : HostState
-        Says whether new work is taken, and where claims are made.
+        Whether new requests are accepted, and the claim store.
     host_id : str
-        This host, as holder of claims.
+        Id of this host, which holds the claims.
     pool : ServicePool
         Sends calls.
     meters : Meters
-        Counts.
+        Counts retries.
     """
 
-    __slots__ = ('_host', '_once', '_repeatable', '_tasks', 'pool')
+    __slots__ = ('_host', '_once_calls', '_repeatable_calls', '_tasks', 'pool')
 
     def __init__(
         self,
@@ -50,19 +50,19 @@
     ) -> None:
         self._host = host
         self.pool = pool
-        self._once = once_calls.OnceCalls(host_id=host_id, pool=pool)
-        self._repeatable = repeatable_calls.RepeatableCalls(
+        self._once_calls = once_calls.OnceCalls(host_id=host_id, pool=pool)
+        self._repeatable_calls = repeatable_calls.RepeatableCalls(
             pool=pool, meters=meters
         )
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
     def __repr__(self) -> str:
-        return f'{type(self).__name__}(once={self._once!r})'
+        return f'{type(self).__name__}(once={self._once_calls!r})'
 
     @property
     def tasks(self) -> set[asyncio.Task[typing.Any]]:
         """Calls that must end before the process exits."""
-        return self._tasks | self._once.tasks
+        return self._tasks | self._once_calls.tasks
 
     async def repeatable(
         self, call: service_call.ServiceCall
@@ -76,7 +76,7 @@
         assert task is not None
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return await self._repeatable.call(call)
+        return await self._repeatable_calls.call(call)
 
     async def once(
         self,
@@ -84,14 +84,14 @@
         digest: str,
         call: service_call.ServiceCall,
         *,
-        made_key: bool,
+        key_is_generated: bool,
     ) -> service_outcome.ServiceOutcome:
         """Make a call that must run at most once."""
-        return await self._once.call(
+        return await self._once_calls.call(
             claims=self._host.claims,
             team=team,
             digest=digest,
             call=call,
-            made_key=made_key,
+            key_is_generated=key_is_generated,
             may_start=self._host.ready,
         )
--- a/limpetroute/entry/services/service_outcome.py
+++ b/limpetroute/entry/services/service_outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes of a call of a plain service, as tagged values."""
+"""Outcome types of a call to a plain service."""
 
 import dataclasses
 
@@ -8,7 +8,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Answered:
-    """The service answered; ``stored`` if that was on an earlier call."""
+    """The service answered.
+
+    Parameters
+    ----------
+    reply : ServiceReply
+        The service's reply.
+    stored : bool
+        Whether the reply was stored by an earlier call under the same
+        key.
+    """
 
     reply: service_call.ServiceReply
     stored: bool = False
@@ -16,19 +25,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotRun:
-    """Nothing of the call ran.
+    """The call provably did not run.
 
     Parameters
     ----------
     proof : NotRunProof
-        Why that is known.
+        Evidence that the call did not run.
     reason : str
-        Why it was not run.
+        Why the call was not run.
     retry_after_s : float
-        When coming back is expected to succeed.
+        Seconds after which a retry may succeed.
     key_spent : bool
-        Whether the key stands for this refusal from now on, so that the
-        call needs a new one.
+        Whether the refusal is stored under the idempotency key, so that
+        a retry needs a new key.
     """
 
     proof: send_guard.NotRunProof
@@ -39,17 +48,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unknown:
-    """The call may have run; it never runs twice under this key.
+    """The call may have run, and never runs again under the same key.
 
     Parameters
     ----------
     reason : str
-        Why it is not known.
+        Why the outcome is not known.
     timed_out : bool
-        Whether the runner did not answer in time.
+        Whether the runner exceeded the time limit.
     retry_after_s : float or None
-        When the same call under the same key may get a better answer;
-        None if nothing was learned to expect that.
+        Seconds after which a retry under the same key may return a
+        known outcome; None if a retry is not expected to help.
     """
 
     reason: str
@@ -59,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class KeyReused:
-    """The key stands for another call."""
+    """The idempotency key was already used for a different call."""
 
 
 ServiceOutcome = Answered | NotRun | Unknown | KeyReused
--- a/tests/entry/test_once_calls.py
+++ b/tests/entry/test_once_calls.py
@@ -63,7 +63,7 @@
 
 async def call_at(host, store):
     return await host.call(
-        claims=store, team='t', digest='d', call=CALL, made_key=False
+        claims=store, team='t', digest='d', call=CALL, key_is_generated=False
     )
 
 
@@ -95,6 +95,6 @@
         got = await call_at(host, SlowStore(settle_s=30.0))
         took_s = asyncio.get_running_loop().time() - begun_s
         assert isinstance(got, service_outcome.Answered)
-        assert took_s < once_calls.KEPT_BEFORE_ANSWER_S + 0.5
+        assert took_s < once_calls.MAX_STORE_WAIT_S + 0.5
 
     asyncio.run(work())
--- a/tests/entry/test_services.py
+++ b/tests/entry/test_services.py
@@ -365,7 +365,7 @@
     ],
 )
 def test_patterns(pattern: str, path: str, fits: bool) -> None:
-    assert call_rules.fits(pattern, path) is fits
+    assert call_rules.path_matches(pattern, path) is fits
 
 
 def test_the_stricter_rule_wins() -> None:
