--- a/limpetroute/entry/peering/__init__.py
+++ b/limpetroute/entry/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Other entry hosts: membership, copies, grants, relays."""
+"""Cooperation of entry hosts: membership, copies, grants, relays."""
--- a/limpetroute/entry/peering/grants.py
+++ b/limpetroute/entry/peering/grants.py
@@ -1,4 +1,4 @@
-"""Room at a runner, granted before anything is sent to it."""
+"""Slots and KV memory that a runner grants before a run is sent to it."""
 
 import dataclasses
 import typing
@@ -6,14 +6,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Granted:
-    """Room is held; ``fence`` goes with each order to the runner."""
+    """Slot and memory are reserved; each order to the runner has ``fence``."""
 
     fence: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Denied:
-    """No room; ``free_slots`` is the grantor's count."""
+    """Nothing is free; ``free_slots`` is the granting host's count."""
 
     free_slots: int
 
@@ -24,31 +24,35 @@
     async def acquire(
         self, *, runner_id: str, work_id: str, kv_bytes: int
     ) -> Granted | Denied:
-        """Ask for a slot and KV memory."""
+        """Request a slot and KV memory."""
 
     def release(self, *, runner_id: str, work_id: str) -> None:
-        """Give room back; idempotent."""
+        """Release a slot and its KV memory; idempotent."""
 
     def may_start(self, *, runner_id: str, work_id: str) -> bool:
         """Whether an order to start may still be sent under the grant.
 
-        A grant lapses when its grantor may have been replaced; an order
-        sent after that could take room that was granted again.
+        A grant expires when the host that gave it may have been
+        replaced. An order sent after that could use a slot that was
+        granted again.
         """
 
 
 class LocalGrants:
-    """Grants everything: this host is alone, its router counts."""
+    """Grants every request on a host without peers.
+
+    The host's own scheduler counts the slots.
+    """
 
     async def acquire(
         self, *, runner_id: str, work_id: str, kv_bytes: int
     ) -> Granted | Denied:
-        """Grant the room."""
+        """Grant the request."""
         return Granted(fence=0)
 
     def release(self, *, runner_id: str, work_id: str) -> None:
-        """Hold nothing, so give nothing back."""
+        """Do nothing, because nothing is reserved."""
 
     def may_start(self, *, runner_id: str, work_id: str) -> bool:
-        """Allow it: what is granted here does not lapse."""
+        """Return true, because local grants do not expire."""
         return True
--- a/limpetroute/entry/peering/peer_calls.py
+++ b/limpetroute/entry/peering/peer_calls.py
@@ -14,9 +14,8 @@
 class PeerCalls:
     """Makes calls to peers, each on a new connection with a deadline.
 
-    A connection that something between the hosts has lost track of is
-    therefore never waited for longer than one call, and never used
-    again.
+    A connection whose state was lost by a device between the hosts
+    therefore delays only one call, and is never used again.
 
     Parameters
     ----------
--- a/limpetroute/entry/peering/peer_clock.py
+++ b/limpetroute/entry/peering/peer_clock.py
@@ -1,4 +1,4 @@
-"""The clock that leases are measured with."""
+"""The clock that measures leases."""
 
 import time
 
@@ -6,11 +6,11 @@
 
 
 def clock_s() -> float:
-    """Return seconds that also pass while the machine is suspended.
+    """Return the seconds of a clock that counts time in suspend.
 
-    A machine that was suspended and wakes would otherwise take its old
-    leases for valid: the ordinary monotonic clock stood still, the
-    other hosts' clocks did not.
+    The ordinary monotonic clock stops while the machine is suspended,
+    and the other hosts' clocks do not. A machine that resumes would
+    take its expired leases for valid.
     """
     if hasattr(time, 'CLOCK_BOOTTIME'):
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/limpetroute/entry/peering/peer_codec.py
+++ b/limpetroute/entry/peering/peer_codec.py
@@ -1,4 +1,4 @@
-"""JSON of the messages between entry hosts, validated on arrival."""
+"""JSON messages between entry hosts, validated on receipt."""
 
 import dataclasses
 import typing
@@ -16,18 +16,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GrantCall:
-    """A call for room at a runner.
+    """Requests or releases a slot and KV memory of a runner.
 
     Parameters
     ----------
     runner_id : str
         The runner.
     asked : Grant
-        What is wanted, or the room that is given back.
+        The grant that is requested or released.
     again : bool
-        Whether an earlier holder granted it before.
+        Whether an earlier lease holder gave the grant before.
     release : bool
-        Whether the room is given back.
+        Whether the grant is released.
     """
 
     runner_id: str
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GrantReply:
-    """The answer to a `GrantCall`; one field is set."""
+    """The reply to a `GrantCall`; one field is set."""
 
     given: grant.GrantGiven | None = None
     denied: grant.GrantDenied | None = None
@@ -47,14 +47,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LookupCall:
-    """Asks for the host that holds a request; one name is given.
+    """Looks up the host that holds a request, by exactly one identifier.
 
     Parameters
     ----------
     team : str
         The team.
     key, request_id, run_id : str
-        Name of the request; empty if not given.
+        Identifier of the request; empty if not given.
     claimant : str
         Host that is about to start a request under the key.
     """
@@ -68,16 +68,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LookupReply:
-    """What a host knows of a request.
+    """The state of a request on one host.
 
     Parameters
     ----------
     held : bool
         Whether the host holds the record.
     copied : bool
-        Whether it holds a copy, and the owner may be gone.
+        Whether the host holds a copy of the record, whose owner may be
+        gone.
     claimed_by : str
-        Host that is about to start the key, as far as this one knows.
+        Id of the replying host if it is about to start a request under
+        the key, else empty.
     """
 
     held: bool = False
@@ -87,14 +89,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimsCall:
-    """Asks which of a runner's runs a host claims."""
+    """Asks a host which of the given runs belong to it."""
 
     runs: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimsReply:
-    """The runs that the host claims."""
+    """The runs that belong to the replying host."""
 
     claimed: tuple[str, ...]
 
@@ -108,16 +110,16 @@
         self._adapter = pydantic.TypeAdapter(kind)
 
     def encode(self, message: _T) -> bytes:
-        """Encode a message."""
+        """Encode a message as JSON."""
         return self._adapter.dump_json(message, exclude_defaults=True)
 
     def decode(self, data: bytes) -> _T:
-        """Decode a message.
+        """Decode and validate a message.
 
         Raises
         ------
         ValueError
-            If it is not one.
+            If the data is not a valid message.
         """
         return self._adapter.validate_json(data)
 
@@ -134,7 +136,7 @@
 
 
 def grant_reply(got: grant.GrantAnswer) -> GrantReply:
-    """Wrap an answer for its way to the asker."""
+    """Wrap the result of a grant request in a reply message."""
     if isinstance(got, grant.GrantGiven):
         return GrantReply(given=got)
     if isinstance(got, grant.GrantDenied):
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -1,4 +1,4 @@
-"""Records of this host, their copies, and copies held for others."""
+"""Copies of this host's records, and copies kept for other hosts."""
 
 import asyncio
 import dataclasses
@@ -19,21 +19,21 @@
 
 LOG = logging.getLogger(__name__)
 
-HOST = 'host:'
+HOST_RESOURCE_PREFIX = 'host:'
 MAX_COPY_TRIES = 3
 TakeOverRecord = typing.Callable[[copy_holder.CopiedRecord], None]
 AbandonRecords = typing.Callable[[], None]
 
 
 class PeerCopies:
-    """Copies records to the heir, and takes over from dead owners.
+    """Copies records to a successor host, and takes over from dead owners.
 
     Parameters
     ----------
     host_id, zone : str
         This host.
     name : str
-        This host and its incarnation.
+        Name of this host and its incarnation.
     leases : LeaseHolder
         The leases of this host.
     calls : PeerCalls
@@ -41,17 +41,17 @@
     url_of : callable
         Returns the address of a host, or None.
     costs : ZoneCosts
-        Times between zones.
+        Round-trip times between zones.
     fence_floor : int
         Lowest fencing number of this process.
     take_over_record : callable
-        Goes on with a record of a dead owner.
+        Continues the request of a record whose owner is dead.
     abandon_records : callable
-        Stops all that belongs to records another host may have by now.
+        Stops work on records that another host may have taken over.
     epoch_of : callable
-        Returns the epoch that a host said it is in.
+        Returns the epoch that a host last published.
     new_epoch : callable
-        Tells the others which epoch this host is in.
+        Publishes a new epoch of this host to the other hosts.
     """
 
     def __init__(
@@ -85,13 +85,15 @@
         self._take_over_record = take_over_record
         self._abandon_records = abandon_records
         self._fence: int | None = None
-        self._until_s = 0.0
+        self._lease_until_s = 0.0
         self._sending = asyncio.Lock()
         self.sender = copy_sender.CopySender(owner=self._owner)
         self.copies = copy_holder.CopyHolder()
         self.copies_missed = 0
         self.taken_over = 0
-        leases.want(HOST + self._owner, fence_floor=fence_floor)
+        leases.want(
+            HOST_RESOURCE_PREFIX + self._owner, fence_floor=fence_floor
+        )
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(owner={self._owner!r})'
@@ -99,7 +101,10 @@
     @property
     def may_serve(self) -> bool:
         """Whether this host holds the lease on its own records."""
-        return self._fence is not None and peer_clock.clock_s() < self._until_s
+        return (
+            self._fence is not None
+            and peer_clock.clock_s() < self._lease_until_s
+        )
 
     def add_record(
         self,
@@ -108,7 +113,7 @@
         *,
         stream: bool = True,
     ) -> None:
-        """Keep a record under this host's lease, and copy it."""
+        """Hold a record under this host's lease, and start to copy it."""
         fence = self._fence
         record = live.record
         record.may_deliver = lambda: self._is_current(fence)
@@ -124,14 +129,15 @@
         )
 
     def drop_copy(self, request_id: str) -> None:
-        """Have the copy of a record dropped."""
+        """Tell the successor to drop its copy of a record."""
         self.sender.forget(request_id)
 
     async def ensure_copied(self, live: live_record.LiveRecord) -> None:
-        """Return once the record's newest state is at the heir.
+        """Wait until the successor has the record's newest state.
 
-        With no other host alive there is nobody to copy to: the answer
-        goes out without, and is counted.
+        If no other host is alive, or copying fails ``MAX_COPY_TRIES``
+        times, the answer is sent without a copy and counted in
+        ``copies_missed``.
         """
         request_id = live.record.request_id
         for _ in range(MAX_COPY_TRIES):
@@ -142,7 +148,7 @@
         self.copies_missed += 1
 
     async def flush(self) -> None:
-        """Send what the heir lacks."""
+        """Send the changes that the successor lacks."""
         if self.sender.heir_id and not self._sending.locked():
             await self._send()
 
@@ -176,42 +182,46 @@
     # -- leases
 
     def check_lease(self) -> None:
-        """Note the lease on this host's records, or its loss.
+        """Update the state of the lease on this host's records.
 
-        When it lapsed, another host may have taken the records over:
-        what is left of them here must not reach a caller.
+        If the lease has expired, another host may have taken the
+        records over, so this host must not deliver them to callers.
         """
-        held = self._leases.held(HOST + self._owner, peer_clock.clock_s())
+        held = self._leases.held(
+            HOST_RESOURCE_PREFIX + self._owner, peer_clock.clock_s()
+        )
         fence = held.fence if held is not None else None
         if self._fence is not None and fence != self._fence:
-            LOG.warning('lease on own records lapsed: %s', self._owner)
+            LOG.warning('lease on own records expired: %s', self._owner)
             self._fence = None
             self._abandon_records()
             self._start_epoch()
             return
         if held is not None:
-            self._until_s = held.until_s
+            self._lease_until_s = held.until_s
         if fence != self._fence:
             LOG.info('lease on own records: fence %s', fence)
         self._fence = fence
 
     def _start_epoch(self) -> None:
-        """Go on under a new name, and leave the old one to the heir.
+        """Continue under a new owner name, and leave the old one behind.
 
-        A host that was frozen may wake before anybody took it for dead.
-        Under the old name it would get its lease back; its records
-        would then be neither its own, for it dropped them, nor the
-        heir's, for their owner would be alive.
+        A host that was frozen may resume before other hosts consider it
+        dead, and would regain the lease under the old name. It has
+        dropped its records, and the successor could not take them over
+        because their owner would count as alive.
         """
-        self._leases.forsake(HOST + self._owner)
+        self._leases.forsake(HOST_RESOURCE_PREFIX + self._owner)
         self._epoch += 1
         self._owner = f'{self._name}.{self._epoch}'
         self.sender = copy_sender.CopySender(owner=self._owner)
-        self._leases.want(HOST + self._owner, fence_floor=self._fence_floor)
+        self._leases.want(
+            HOST_RESOURCE_PREFIX + self._owner, fence_floor=self._fence_floor
+        )
         self._new_epoch(self._epoch)
 
     def choose_heir(self, view: member_view.MemberView) -> None:
-        """Keep the heir while it is well, else choose another one."""
+        """Choose a new successor if the current one does not work."""
         working = {
             item.host_id: item.zone
             for item in view.working
@@ -230,15 +240,17 @@
                 LOG.info('copies go to %s', heir_id or 'nobody')
             self.sender.set_heir(heir_id)
         if heir_id and not self.sender.uncopied:
-            self._leases.name_heir(HOST + self._owner, heir_id)
+            self._leases.name_heir(HOST_RESOURCE_PREFIX + self._owner, heir_id)
 
     def take_over(self, view: member_view.MemberView) -> None:
-        """Take over copies whose owner is gone, once its lease is free."""
+        """Take over copies of gone owners whose lease this host obtains."""
         for owner in self.copies.owners:
             if is_gone(owner, view, self._epoch_of):
-                self._leases.want(HOST + owner, fence_floor=self._fence_floor)
+                self._leases.want(
+                    HOST_RESOURCE_PREFIX + owner, fence_floor=self._fence_floor
+                )
         for resource in self._leases.wanted:
-            owner = resource.removeprefix(HOST)
+            owner = resource.removeprefix(HOST_RESOURCE_PREFIX)
             if owner == resource or owner == self._owner:
                 continue
             self._take_over(resource, owner, view)
@@ -253,8 +265,9 @@
         if held is None or not self.may_serve:
             return
         if held.known_heir_id in ('', self._host_id):
-            # Who takes over has itself noted as the heir first: a host
-            # with another copy that comes later learns it is too late.
+            # The host that takes over first registers as the successor
+            # with the voters, so that a later host with another copy
+            # sees that the records are taken.
             self._leases.name_heir(resource, self._host_id)
             if held.heir_id != self._host_id:
                 return
@@ -269,9 +282,9 @@
         self._leases.unwant(resource)
 
     def leave(self) -> None:
-        """Give the records to the heir at once."""
+        """Release the lease so that the successor can take over at once."""
         self._fence = None
-        self._leases.unwant(HOST + self._owner)
+        self._leases.unwant(HOST_RESOURCE_PREFIX + self._owner)
 
     def _is_current(self, fence: int | None) -> bool:
         return fence is not None and fence == self._fence and self.may_serve
@@ -282,7 +295,7 @@
     view: member_view.MemberView,
     epoch_of: typing.Callable[[str], int],
 ) -> bool:
-    """Whether a host is dead, has left, or is not its former self."""
+    """Whether an owner is dead, has left, or has a newer incarnation."""
     host_id, _, life = owner.rpartition('@')
     incarnation, _, epoch = life.partition('.')
     claim = view.find(host_id)
--- a/limpetroute/entry/peering/peer_grants.py
+++ b/limpetroute/entry/peering/peer_grants.py
@@ -1,4 +1,4 @@
-"""Room at runners, granted by the hosts that hold their leases."""
+"""Acquires grants from the hosts that hold the runners' leases."""
 
 import asyncio
 import typing
@@ -16,20 +16,22 @@
 
 
 class PeerGrants:
-    """Asks the runner's lease holder, which may be this host.
+    """Acquires, renews and releases grants at the lease holders.
+
+    The lease holder of a runner may be this host.
 
     Parameters
     ----------
     host_id : str
         This host.
     coordinator : GrantDesk
-        This host's part in granting.
+        Grants for the runners that this host leases.
     calls : PeerCalls
         Calls to other hosts.
     url_of : callable
         Returns the address of a host, or None.
     config : GrantConfig
-        Times.
+        Validity and renewal times of grants.
     """
 
     __slots__ = (
@@ -67,14 +69,14 @@
     async def acquire(
         self, *, runner_id: str, work_id: str, kv_bytes: int
     ) -> grants.Granted | grants.Denied:
-        """Ask for a slot and KV memory."""
+        """Request a slot and KV memory."""
         asked = grant.Grant(
             work_id=work_id,
             run_id=work_id,
             asker_id=self._host_id,
             kv_bytes=kv_bytes,
         )
-        got = await self._ask(runner_id, asked, again=False)
+        got = await self._request_grant(runner_id, asked, again=False)
         if isinstance(got, grant.GrantGiven):
             return grants.Granted(fence=got.fence)
         if isinstance(got, grant.GrantDenied):
@@ -82,7 +84,7 @@
         return grants.Denied(free_slots=0)
 
     def release(self, *, runner_id: str, work_id: str) -> None:
-        """Give room back; idempotent."""
+        """Release a slot and its KV memory; idempotent."""
         line = self.ledger.pop(runner_id, work_id)
         if line is None:
             return
@@ -98,7 +100,7 @@
         return self.ledger.start(runner_id, work_id, peer_clock.clock_s())
 
     def renew(self) -> None:
-        """Renew what is due, and claim it again at new holders."""
+        """Renew grants that are due, and register them at new lease holders."""
         now_s = peer_clock.clock_s()
         holders = {}
         for runner_id in {line.runner_id for line in self.ledger.lines()}:
@@ -115,23 +117,25 @@
             return
         self._renewing.add((line.runner_id, work_id))
         try:
-            await self._ask(line.runner_id, line.grant, again=again)
+            await self._request_grant(line.runner_id, line.grant, again=again)
         finally:
             self._renewing.discard((line.runner_id, work_id))
-        # Given back while the renewal was under way: once more, or the
-        # renewal would hold room that nobody uses.
+        # The grant was released during the renewal. It is released again,
+        # because the renewal may have reserved the unused slot anew.
         if (line.runner_id, work_id) in self._released:
             self._released.discard((line.runner_id, work_id))
             self.release(runner_id=line.runner_id, work_id=work_id)
 
-    async def _ask(
+    async def _request_grant(
         self, runner_id: str, asked: grant.Grant, *, again: bool
     ) -> grant.GrantAnswer:
-        asked_s = peer_clock.clock_s()
-        holder_id = self._coordinator.holder_of(runner_id, asked_s)
+        requested_s = peer_clock.clock_s()
+        holder_id = self._coordinator.holder_of(runner_id, requested_s)
         got: grant.GrantAnswer = grant.NotHolder()
         for _ in range(MAX_HOPS):
-            got = await self._ask_one(holder_id, runner_id, asked, again)
+            got = await self._request_grant_from(
+                holder_id, runner_id, asked, again
+            )
             if not isinstance(got, grant.NotHolder):
                 break
             if not got.holder_id or got.holder_id == holder_id:
@@ -143,11 +147,11 @@
                 holder_id=holder_id,
                 asked=asked,
                 given=got,
-                asked_s=asked_s,
+                asked_s=requested_s,
             )
         return got
 
-    async def _ask_one(
+    async def _request_grant_from(
         self,
         holder_id: str,
         runner_id: str,
@@ -171,9 +175,9 @@
             peer_codec.GRANT_REPLY.decode,
         )
         if reply is None:
-            # The holder may have granted it: said to be given back, the
-            # room is not lost until the grant ends by itself.
-            self._spawn(self._give_back(url, call))
+            # The holder may have given the grant although its reply was
+            # lost. Releasing it frees the slot before the grant expires.
+            self._spawn(self._send_release(url, call))
             return grant.NotHolder()
         return reply.given or reply.denied or reply.not_holder
 
@@ -182,9 +186,11 @@
         if url is None:
             return
         call = peer_codec.GrantCall(runner_id=line.runner_id, asked=line.grant)
-        await self._give_back(url, call)
+        await self._send_release(url, call)
 
-    async def _give_back(self, url: str, call: peer_codec.GrantCall) -> None:
+    async def _send_release(
+        self, url: str, call: peer_codec.GrantCall
+    ) -> None:
         body = peer_codec.GRANT_CALL.encode(
             peer_codec.GrantCall(
                 runner_id=call.runner_id, asked=call.asked, release=True
--- a/limpetroute/entry/peering/peer_handler.py
+++ b/limpetroute/entry/peering/peer_handler.py
@@ -1,22 +1,22 @@
-"""``POST /v1/peers/{message}``: what entry hosts tell each other."""
+"""``POST /v1/peers/{message}``: messages between entry hosts."""
 
 from limpetroute.entry.callers import base_handler
 
 
 class PeerHandler(base_handler.BaseHandler):
-    """Takes a peer's message and answers it in the reply."""
+    """Passes a peer's message to the peer node and sends its reply."""
 
     def set_default_headers(self) -> None:
-        """Leave out what no peer reads; these calls never end."""
+        """Omit headers that no peer reads; peers call all the time."""
         for header in ('Server', 'Date'):
             self.clear_header(header)
 
     def compute_etag(self) -> None:
-        """Give no entity tag."""
+        """Return None: replies need no entity tag."""
         return None
 
     def post(self, name: str) -> None:
-        """Take one message."""
+        """Handle one message."""
         peers = self.host.peers
         if peers is None:
             self.fail(404, 'this host has no peers', code='no_peers')
--- a/limpetroute/entry/peering/peer_lookup.py
+++ b/limpetroute/entry/peering/peer_lookup.py
@@ -17,11 +17,11 @@
 
 
 class PeerLookup:
-    """Asks all hosts for a request, and keeps key claims apart.
+    """Looks up requests on all hosts, and serializes starts under a key.
 
-    Two hosts that are given the same key at once each note it as
-    claimed before they ask the others; so at least one of them sees the
-    other's claim, and it withdraws and looks again.
+    If two hosts receive the same key at once, each records its claim
+    before it asks the others. At least one of them then sees the
+    other's claim, withdraws its own and looks the key up again.
 
     Parameters
     ----------
@@ -66,7 +66,7 @@
         return f'{type(self).__name__}(host_id={self._host_id!r})'
 
     def answer(self, call: peer_codec.LookupCall) -> peer_codec.LookupReply:
-        """Say what this host knows."""
+        """Return this host's reply to a lookup."""
         if self._is_held(call):
             return peer_codec.LookupReply(held=True)
         claimed_by = ''
@@ -79,17 +79,18 @@
     async def find(
         self, call: peer_codec.LookupCall, *, timeout_s: float
     ) -> tuple[str | None, bool]:
-        """Find the holder.
+        """Find the host that holds a request.
 
-        Waits while a copy is being taken over, at most ``timeout_s``.
+        Waits at most ``timeout_s`` while a copy is being taken over.
 
         Returns
         -------
         (str or None, bool)
-            The holder's id, and whether a copy was seen whose owner is
-            gone and which nobody could take over yet.
+            The holder's id, and whether the request is unresolved: a
+            copy exists whose owner is gone and that no host has taken
+            over.
         """
-        until_s = peer_clock.clock_s() + timeout_s
+        deadline_s = peer_clock.clock_s() + timeout_s
         while True:
             if self._is_held(call):
                 return self._host_id, False
@@ -101,7 +102,7 @@
             copied = copied or any(got.copied for got in replies.values())
             if not copied:
                 return None, False
-            if peer_clock.clock_s() >= until_s:
+            if peer_clock.clock_s() >= deadline_s:
                 return None, True
             await asyncio.sleep(TAKEOVER_POLL_S)
 
@@ -113,23 +114,23 @@
         Returns
         -------
         (str or None, bool)
-            As `find`; with (None, False) the key is this host's to
-            start until `settle`.
+            As `find`. (None, False) means that this host has claimed
+            the key and may start the request; `settle` ends the claim.
         """
-        place = (team, key)
+        claim_key = (team, key)
         call = peer_codec.LookupCall(
             team=team, key=key, claimant=self._host_id
         )
         for _ in range(CLAIM_TRIES):
-            if place in self._claims:
-                # Another connection to this host is at it.
+            if claim_key in self._claims:
+                # Another connection to this host claims the same key.
                 await asyncio.sleep(CLAIM_PAUSE_S)
                 if self._is_held(call):
                     return self._host_id, False
                 continue
             if self._is_held(call):
                 return self._host_id, False
-            self._claims[place] = peer_clock.clock_s() + CLAIM_S
+            self._claims[claim_key] = peer_clock.clock_s() + CLAIM_S
             replies = await self._ask_all(call)
             held = [name for name, got in replies.items() if got.held]
             if held:
@@ -146,7 +147,7 @@
         return None, True
 
     def settle(self, team: str, key: str) -> None:
-        """End a claim: its record is there, or it is not started."""
+        """End a claim, after its record exists or its start failed."""
         self._claims.pop((team, key), None)
 
     async def _ask_all(
@@ -154,13 +155,13 @@
     ) -> dict[str, peer_codec.LookupReply]:
         urls = self._urls()
         body = peer_codec.LOOKUP_CALL.encode(call)
-        asks = [
+        calls = [
             self._calls.post_and_decode(
                 url, 'lookup', body, peer_codec.LOOKUP_REPLY.decode
             )
             for url in urls.values()
         ]
-        replies = await asyncio.gather(*asks)
+        replies = await asyncio.gather(*calls)
         return {
             host_id: reply
             for host_id, reply in zip(urls, replies, strict=True)
@@ -180,10 +181,10 @@
         return self._copies.find(call.team, name) is not None
 
     def _is_claimed(self, call: peer_codec.LookupCall) -> bool:
-        until_s = self._claims.get((call.team, call.key))
-        if until_s is None:
+        expires_s = self._claims.get((call.team, call.key))
+        if expires_s is None:
             return False
-        if until_s <= peer_clock.clock_s():
+        if expires_s <= peer_clock.clock_s():
             del self._claims[call.team, call.key]
             return False
         return True
--- a/limpetroute/entry/peering/peer_manifest_handler.py
+++ b/limpetroute/entry/peering/peer_manifest_handler.py
@@ -4,13 +4,13 @@
 
 
 class PeerManifestHandler(base_handler.BaseHandler):
-    """Hands the manifest in force to a host that is cut off from control."""
+    """Serves the manifest to hosts that cannot reach the control hosts."""
 
     def get(self) -> None:
-        """Answer in the shape of control, which this host does not speak for.
+        """Return the manifest in the format of the control hosts.
 
-        ``in_touch`` is false: hearing a peer does not end the isolation
-        of a host, it only brings it forward.
+        ``in_touch`` is false, because a manifest from a peer updates
+        an isolated host but does not end its isolation.
         """
         body = self.host.manifest
         text = None if body is None else body.model_dump(mode='json')
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -1,4 +1,4 @@
-"""One entry host among its peers."""
+"""Connects one entry host to its peers."""
 
 import asyncio
 import logging
@@ -42,12 +42,12 @@
 RENEW_PERIOD_S = 0.5
 REAP_PERIOD_S = 1.0
 MAX_TASKS = 256
-MANIFEST = 'manifest'
-EPOCH = 'epoch'
+MANIFEST_VALUE = 'manifest'
+EPOCH_VALUE = 'epoch'
 
 
 class PeerNode:
-    """Owns membership, leases, grants, copies and the reaper.
+    """Holds membership, leases, grants, copies and the reaper of a host.
 
     Parameters
     ----------
@@ -62,9 +62,9 @@
     records : RecordStore
         Records of this host.
     take_over_record : callable
-        Goes on with a record of a dead owner.
+        Continues the request of a record whose owner is dead.
     abandon_records : callable
-        Stops all that belongs to records another host may have by now.
+        Stops work on records that another host may have taken over.
     """
 
     def __init__(
@@ -158,10 +158,10 @@
     def __repr__(self) -> str:
         return f'{type(self).__name__}(members={self.members!r})'
 
-    # -- what the rest of the process asks
+    # -- interface for the rest of the process
 
     def view(self) -> member_view.MemberView:
-        """Return what this host believes of all hosts."""
+        """Return this host's view of all hosts."""
         return self.members.view(peer_clock.clock_s())
 
     def url_of(self, host_id: str) -> str | None:
@@ -180,25 +180,25 @@
         }
 
     def publish_manifest_number(self, number: int) -> None:
-        """Tell the others which manifest this host has in force."""
-        self.members.offer_value(MANIFEST, number)
+        """Publish the number of this host's manifest to the other hosts."""
+        self.members.offer_value(MANIFEST_VALUE, number)
 
     def urls_with_newer_manifest(self, number: int) -> list[str]:
         """Return addresses of hosts that have a newer manifest."""
         return [
             url
             for host_id, url in self.other_urls().items()
-            if self.members.values_of(host_id).get(MANIFEST, 0) > number
+            if self.members.values_of(host_id).get(MANIFEST_VALUE, 0) > number
         ]
 
     def _epoch_of(self, host_id: str) -> int:
-        return self.members.values_of(host_id).get(EPOCH, 0)
+        return self.members.values_of(host_id).get(EPOCH_VALUE, 0)
 
     def _new_epoch(self, epoch: int) -> None:
-        self.members.own_values[EPOCH] = epoch
+        self.members.own_values[EPOCH_VALUE] = epoch
 
     def announced(self, body: announcement.AnnouncementBody) -> None:
-        """Take a decode runner's announcement."""
+        """Pass a decode runner's announcement to the grant coordinator."""
         if body.role != 'decode' or body.report is None:
             return
         now_s = peer_clock.clock_s()
@@ -218,7 +218,7 @@
         self.grant_coordinator.on_report(report, now_s)
 
     def status(self) -> dict[str, typing.Any]:
-        """Return plain values for operators."""
+        """Return the status that operators see, as JSON values."""
         view = self.view()
         now_s = peer_clock.clock_s()
         return {
@@ -254,7 +254,7 @@
             'calls': dict(self.calls.counts),
         }
 
-    # -- life
+    # -- lifecycle
 
     def start(self) -> None:
         """Start the periodic work."""
@@ -269,18 +269,18 @@
         ]
 
     def start_leaving(self) -> None:
-        """Take no new work; hand leases of runners over."""
+        """Publish that this host leaves, and hand over its runner leases."""
         self.members.start_leaving()
         self.grant_coordinator.leaving = True
 
     async def leave(self) -> None:
-        """Give the records to the heir and say goodbye."""
+        """Release the records to the successor and notify the other hosts."""
         await self.copies.flush()
         self.copies.leave()
         await self._tick()
         now_s = peer_clock.clock_s()
         for send in self.members.leave(now_s):
-            self._spawn(self._send_member(send))
+            self._spawn(self._send_member_message(send))
         if self._tasks:
             await asyncio.wait(
                 set(self._tasks),
@@ -301,13 +301,13 @@
             try:
                 await work()
             except Exception:  # noqa: BLE001 - the loop must go on
-                LOG.exception('periodic work broke')
+                LOG.exception('periodic task failed')
             await asyncio.sleep(period_s)
 
     async def _tick(self) -> None:
         now_s = peer_clock.clock_s()
         for send in self.members.tick(now_s):
-            self._spawn(self._send_member(send))
+            self._spawn(self._send_member_message(send))
         view = self.members.view(now_s)
         self.grant_coordinator.set_hosts(
             {item.host_id: item.zone for item in view.working}
@@ -326,9 +326,9 @@
     async def _reap(self) -> None:
         await self.reaper.check(self.view())
 
-    # -- messages out
+    # -- outgoing messages
 
-    async def _send_member(self, send: member_message.Send) -> None:
+    async def _send_member_message(self, send: member_message.Send) -> None:
         got = await self.calls.post(
             send.url,
             'members',
@@ -336,7 +336,7 @@
             timeout_s=2 * self._settings.peers.probe_timeout_s,
         )
         if got:
-            self._take_member(got)
+            self._handle_member_message(got)
 
     def _send_grant_message(
         self, item: grant_desk.DeskSend, now_s: float
@@ -349,9 +349,9 @@
             vote = self.grant_coordinator.voter.vote(message, now_s)
             self.grant_coordinator.on_vote(vote, now_s)
             return
-        self._spawn(self._send_ask(item.host_id, message))
+        self._spawn(self._send_lease_request(item.host_id, message))
 
-    async def _send_ask(
+    async def _send_lease_request(
         self, host_id: str, message: lease_message.LeaseAsk
     ) -> None:
         url = self.url_of(host_id)
@@ -380,16 +380,17 @@
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
         if len(self._tasks) >= MAX_TASKS:
-            # Protocol messages are repeated; memory is not.
+            # The protocol repeats lost messages, so dropping one here
+            # is safe and bounds the memory.
             work.close()
             return
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # -- messages in
+    # -- incoming messages
 
-    def _take_member(self, data: bytes) -> bytes:
+    def _handle_member_message(self, data: bytes) -> bytes:
         message = member_codec.decode(data)
         sends = self.members.receive(message, peer_clock.clock_s())
         reply = b''
@@ -397,41 +398,41 @@
             if send.message.kind is member_message.MessageKind.ACK:
                 reply = member_codec.encode(send.message)
                 continue
-            self._spawn(self._send_member(send))
+            self._spawn(self._send_member_message(send))
         return reply
 
     def receive(self, name: str, data: bytes) -> bytes:
-        """Take a peer's message and return the reply.
+        """Handle a peer's message and return the reply.
 
         Raises
         ------
         ValueError
             If the message is not valid.
         KeyError
-            If there is no such message.
+            If no message has this name.
         """
-        take = {
-            'members': self._take_member,
-            'leases': self._take_ask,
-            'hand_over': self._take_hand_over,
-            'grants': self._take_grant,
-            'copies': self._take_copies,
-            'lookup': self._take_lookup,
-            'claims': self._take_claims,
+        handle = {
+            'members': self._handle_member_message,
+            'leases': self._handle_lease_request,
+            'hand_over': self._handle_hand_over,
+            'grants': self._handle_grant_request,
+            'copies': self._handle_copies,
+            'lookup': self._handle_lookup,
+            'claims': self._handle_claims,
         }[name]
-        return take(data)
+        return handle(data)
 
-    def _take_ask(self, data: bytes) -> bytes:
+    def _handle_lease_request(self, data: bytes) -> bytes:
         vote = self.grant_coordinator.voter.vote(
             lease_codec.decode_ask(data), peer_clock.clock_s()
         )
         return lease_codec.encode_vote(vote)
 
-    def _take_hand_over(self, data: bytes) -> bytes:
+    def _handle_hand_over(self, data: bytes) -> bytes:
         self.grant_coordinator.on_hand_over(peer_codec.HAND_OVER.decode(data))
         return b''
 
-    def _take_grant(self, data: bytes) -> bytes:
+    def _handle_grant_request(self, data: bytes) -> bytes:
         call = peer_codec.GRANT_CALL.decode(data)
         now_s = peer_clock.clock_s()
         if call.release:
@@ -444,15 +445,15 @@
         )
         return peer_codec.GRANT_REPLY.encode(peer_codec.grant_reply(got))
 
-    def _take_copies(self, data: bytes) -> bytes:
+    def _handle_copies(self, data: bytes) -> bytes:
         reply = self.copies.copies.take(peer_codec.COPY_BATCH.decode(data))
         return peer_codec.COPY_REPLY.encode(reply)
 
-    def _take_lookup(self, data: bytes) -> bytes:
+    def _handle_lookup(self, data: bytes) -> bytes:
         reply = self.lookup.answer(peer_codec.LOOKUP_CALL.decode(data))
         return peer_codec.LOOKUP_REPLY.encode(reply)
 
-    def _take_claims(self, data: bytes) -> bytes:
+    def _handle_claims(self, data: bytes) -> bytes:
         call = peer_codec.CLAIMS_CALL.decode(data)
         reply = peer_codec.ClaimsReply(claimed=self.reaper.claims(call.runs))
         return peer_codec.CLAIMS_REPLY.encode(reply)
--- a/limpetroute/entry/peering/peer_reaper.py
+++ b/limpetroute/entry/peering/peer_reaper.py
@@ -1,4 +1,4 @@
-"""Ends runs that no entry host claims, at runners held by lease."""
+"""Ends runs that no entry host claims, on runners leased by this host."""
 
 import asyncio
 import logging
@@ -19,12 +19,12 @@
 
 
 class PeerReaper:
-    """Asks every host for its claims, and ends what has none.
+    """Asks every host which runs it claims, and ends unclaimed runs.
 
     Parameters
     ----------
     coordinator : GrantDesk
-        Knows the runners and who holds them.
+        Provides the runners' reports and lease holders.
     calls : PeerCalls
         Calls to other hosts.
     engines : EnginePool
@@ -71,14 +71,14 @@
     def claims(self, runs: typing.Iterable[str]) -> tuple[str, ...]:
         """Return which of the runs this host claims.
 
-        A copy claims too: its owner may be gone, and the run is about
-        to be resumed here.
+        Runs of copied records count as claimed: the owner may be gone
+        and this host may be about to resume the run.
         """
         claimed = self._own_runs() | self._copies.open_runs()
         return tuple(run_id for run_id in runs if run_id in claimed)
 
     async def check(self, view: member_view.MemberView) -> None:
-        """Look at every runner that this host holds the lease of."""
+        """End unclaimed runs on the runners that this host leases."""
         now_s = peer_clock.clock_s()
         reports = [
             report
@@ -108,16 +108,16 @@
         body = peer_codec.CLAIMS_CALL.encode(
             peer_codec.ClaimsCall(runs=tuple(runs))
         )
-        me = view.claims[0].host_id
-        gone = set(view.gone)
-        asks = [
+        own_id = view.claims[0].host_id
+        gone_ids = set(view.gone)
+        calls = [
             self._calls.post_and_decode(
                 item.url, 'claims', body, peer_codec.CLAIMS_REPLY.decode
             )
             for item in view.claims
-            if item.host_id != me and item.host_id not in gone
+            if item.host_id != own_id and item.host_id not in gone_ids
         ]
-        replies = await asyncio.gather(*asks)
+        replies = await asyncio.gather(*calls)
         claimed = set(self.claims(runs))
         for reply in replies:
             if reply is not None:
@@ -129,6 +129,8 @@
         if engine is None:
             return
         for run_id in runs:
-            LOG.warning('ending %s at %s: nobody claims it', run_id, runner_id)
+            LOG.warning(
+                'ending run %s on %s: no host claims it', run_id, runner_id
+            )
             if await engine.cancel(run_id, timeout_s=CANCEL_TIMEOUT_S):
                 self.reaped += 1
--- a/limpetroute/entry/peering/peer_relay.py
+++ b/limpetroute/entry/peering/peer_relay.py
@@ -1,4 +1,4 @@
-"""Passes a caller's request to the entry host that holds its record."""
+"""Relays a caller's request to the entry host that holds its record."""
 
 import typing
 
@@ -10,24 +10,24 @@
 
 PREFIX = '/v1/peers/relay'
 TEAM_HEADER = 'Limpetroute-Relayed-Team'
-SENT_HEADERS = ('Last-Event-ID', 'Idempotency-Key', 'Content-Type')
+FORWARDED_HEADERS = ('Last-Event-ID', 'Idempotency-Key', 'Content-Type')
 DROPPED_HEADERS = frozenset(
     {'connection', 'content-length', 'date', 'server', 'transfer-encoding'}
 )
 
 
 class PeerRelay:
-    """Copies an answer from the holder to the caller, as it comes.
+    """Streams an answer from the host that holds a record to the caller.
 
-    The holder alone decides which connection may receive: it fences
-    older attachments wherever their callers sit.
+    Only the holder decides which connection receives the answer: it
+    fences older attachments on all hosts.
 
     Parameters
     ----------
     http : Caller
         Makes the calls.
     open_timeout_s, idle_timeout_s : float
-        Longest wait for the answer's headers, and between two parts.
+        Longest wait for the answer's headers, and for each next chunk.
     """
 
     __slots__ = ('_http', '_idle_timeout_s', '_open_timeout_s')
@@ -55,10 +55,10 @@
         body: bytes,
         gone: typing.Callable[[], bool],
     ) -> bool:
-        """Relay; return False if the holder gave no answer at all."""
+        """Relay a request; return False if the holder sent no answer."""
         request = handler.request
         headers = {TEAM_HEADER: team}
-        for name in SENT_HEADERS:
+        for name in FORWARDED_HEADERS:
             value = request.headers.get(name)
             if value is not None:
                 headers[name] = value
@@ -83,15 +83,16 @@
                     return True
                 handler.write(chunk)
                 await handler.flush()
-            whole = link.whole
+            complete = link.whole
         except (TimeoutError, tornado.iostream.StreamClosedError):
-            whole = False
+            complete = False
         finally:
             link.close()
-        if whole:
+        if complete:
             handler.finish()
             return True
-        # An answer that broke off must not look like one that ended.
+        # Closes the connection so that a truncated answer does not look
+        # complete.
         connection = request.connection
         connection.stream.close()  # type: ignore[union-attr]
         return True
--- a/limpetroute/entry/peering/peer_status_handler.py
+++ b/limpetroute/entry/peering/peer_status_handler.py
@@ -1,13 +1,13 @@
-"""``GET /v1/peers/status``: how this host sees the others."""
+"""``GET /v1/peers/status``: this host's view of its peers."""
 
 from limpetroute.entry.callers import base_handler
 
 
 class PeerStatusHandler(base_handler.BaseHandler):
-    """Shows members, leases, copies and counts."""
+    """Returns members, leases, copies and counts."""
 
     def get(self) -> None:
-        """Answer with one object of plain values."""
+        """Return the status as a JSON object."""
         peers = self.host.peers
         if peers is None:
             self.finish({'members': {}})
