--- a/limpetroute/entry/callers/__init__.py
+++ b/limpetroute/entry/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: HTTP handlers, answers and their connections."""
+"""HTTP handlers for callers, their answers and connections."""
--- a/limpetroute/entry/callers/answer_format.py
+++ b/limpetroute/entry/callers/answer_format.py
@@ -1,4 +1,4 @@
-"""Shapes of the answers that OpenAI's clients expect."""
+"""Response bodies in the format that OpenAI's clients expect."""
 
 import json
 import time
@@ -7,28 +7,29 @@
 from limpetroute.peers import run_end
 
 OUTCOME_FIELD = 'limpetroute_outcome'
-_MARK = '\x00'
+_TEXT_PLACEHOLDER = '\x00'
 
 
 class AnswerFormat:
-    """Builds whole answers and streamed chunks of one request.
+    """Builds whole answers and streamed chunks for one request.
 
-    A chunk's frame is the same for all events of a request, so it is
-    encoded once; each event then costs the encoding of its text alone.
+    The JSON around a chunk's text is the same for all events of a
+    request, so it is encoded once; each event then costs only the
+    encoding of its text.
 
     Parameters
     ----------
     request_id : str
-        Name of the request.
+        Id of the request.
     model : str
         Model that answers.
     chat : bool
-        Whether the chat shape is wanted.
+        Whether the chat completions format is used.
     """
 
     __slots__ = (
-        '_after',
-        '_before',
+        '_after_text',
+        '_before_text',
         '_chat',
         '_created',
         '_model',
@@ -40,10 +41,14 @@
         self._model = model
         self._chat = chat
         self._created = int(time.time())
-        frame = encode(self._choice(_MARK, {'content': _MARK}, None))
-        before, after = frame.split(encode(_MARK))
-        self._before = before
-        self._after = after
+        template = encode(
+            self._choice(
+                _TEXT_PLACEHOLDER, {'content': _TEXT_PLACEHOLDER}, None
+            )
+        )
+        before, after = template.split(encode(_TEXT_PLACEHOLDER))
+        self._before_text = before
+        self._after_text = after
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(request_id={self._request_id!r})'
@@ -69,7 +74,7 @@
         if first and self._chat:
             delta = {'role': 'assistant', 'content': text}
             return encode(self._choice(text, delta, None))
-        return self._before + json.dumps(text).encode() + self._after
+        return self._before_text + json.dumps(text).encode() + self._after_text
 
     def last_chunk(self, end: run_end.RunEnd) -> bytes:
         """Return the chunk that carries the finish reason and outcome."""
@@ -135,7 +140,7 @@
     outcome: str | None = None,
     retry_after_s: float | None = None,
 ) -> dict[str, typing.Any]:
-    """Return an error in the ecosystem's shape."""
+    """Return an error body in OpenAI's format."""
     error: dict[str, typing.Any] = {
         'message': message,
         'type': kind,
--- a/limpetroute/entry/callers/answer_handler.py
+++ b/limpetroute/entry/callers/answer_handler.py
@@ -1,4 +1,4 @@
-"""Sends a record's answer to the connection of a handler."""
+"""Base handler that sends a record's answer to its connection."""
 
 import http
 import sys
@@ -15,7 +15,7 @@
 
 
 class AnswerHandler(body_handler.BodyHandler):
-    """Attaches to a record and answers from it."""
+    """Attaches to a record and sends the record's answer."""
 
     _live: live_record.LiveRecord | None = None
     _grace_s: float | None = None
@@ -27,7 +27,7 @@
         stream: bool,
         after_index: int | None,
     ) -> None:
-        """Attach and answer, then detach.
+        """Attach to a record, send its answer, then detach.
 
         Parameters
         ----------
@@ -36,27 +36,29 @@
         stream : bool
             Whether the answer is streamed.
         after_index : int or None
-            Last event the caller has; None starts with the first.
+            Index of the last event that the caller has; None starts
+            with the first event.
         """
         if self._gone:
-            # The loss was told before there was anything to detach; an
-            # attachment made now would hold the run for nobody.
+            # The connection closed before the attachment existed, so
+            # `on_connection_close` could not detach it. An attachment
+            # made now would keep the run alive without a caller.
             return
-        first = -1 if after_index is None else after_index
-        attachment = live.attach(after_index=first)
+        last_index = -1 if after_index is None else after_index
+        attachment = live.attach(after_index=last_index)
         self._live = live
         self._attached = True
         self.set_header('Limpetroute-Request-Id', live.record.request_id)
         try:
             if stream:
-                await self._stream(live, attachment)
+                await self._send_stream(live, attachment)
             else:
-                await self._whole(live, attachment)
+                await self._send_whole(live, attachment)
         finally:
             self._detach()
 
     def on_connection_close(self) -> None:
-        """Start the grace at once when the caller goes."""
+        """Detach, which starts the grace period for a resume."""
         super().on_connection_close()
         self._detach()
 
@@ -69,15 +71,15 @@
             grace_s = self.host.settings.resume_grace_s
         live.detach(grace_s)
 
-    async def _stream(
+    async def _send_stream(
         self,
         live: live_record.LiveRecord,
         attachment: request_record.Attachment,
     ) -> None:
         settings = self.host.settings
         record = live.record
-        # Until the first word or the first keep-alive, a refusal still
-        # gets its own status.
+        # Until the first event or keep-alive is sent, a refusal can still
+        # be answered with its own HTTP status.
         await live.wait_past(
             attachment, attachment.next_index, settings.keep_alive_s
         )
@@ -86,8 +88,8 @@
             record.mark_end_delivered(attachment)
             self.fail_with_end(end)
             return
-        told = base_handler.PENDING if end is None else str(end.kind)
-        self.set_header('Limpetroute-Outcome', told)
+        outcome = base_handler.PENDING if end is None else str(end.kind)
+        self.set_header('Limpetroute-Outcome', outcome)
         self.set_header('Content-Type', 'text/event-stream')
         self.set_header('Cache-Control', 'no-store')
         self.set_header('X-Accel-Buffering', 'no')
@@ -102,7 +104,7 @@
         if await writer.run():
             self.finish()
             return
-        self._break_off()
+        self._abort_connection()
 
     @staticmethod
     def _is_refusal(
@@ -114,7 +116,7 @@
             return False
         return attachment.next_index == len(record.events) == 0
 
-    async def _whole(
+    async def _send_whole(
         self,
         live: live_record.LiveRecord,
         attachment: request_record.Attachment,
@@ -140,7 +142,7 @@
             return
         await live.close()
         if not record.is_current(attachment):
-            self._break_off()
+            self._abort_connection()
             return
         self.set_header('Limpetroute-Outcome', str(end.kind))
         self.set_header('Content-Type', 'application/json')
@@ -153,11 +155,11 @@
         record.mark_delivered(attachment, len(record.events) - 1)
         record.mark_end_delivered(attachment)
 
-    def _break_off(self) -> None:
-        """Close without the mark of a clean end.
+    def _abort_connection(self) -> None:
+        """Close the connection without ending the stream properly.
 
-        The caller's library sees a broken stream and not a short
-        answer that looks whole.
+        The caller's library then reports a broken stream instead of
+        taking a truncated answer for a complete one.
         """
         stream = self.request.connection.stream  # type: ignore[union-attr]
         stream.close()
--- a/limpetroute/entry/callers/attachment_writer.py
+++ b/limpetroute/entry/callers/attachment_writer.py
@@ -11,18 +11,21 @@
 from limpetroute.peers import request_record
 from limpetroute.peers import run_end
 
-# One line, with no empty line after it: OpenAI's client keeps the last
-# event's id, takes the empty line for an event without data, and fails.
+# A comment line without an empty line after it. OpenAI's client keeps
+# the last event's id, takes an empty line for an event without data,
+# and fails.
 KEEP_ALIVE = b': keep-alive\n'
 DONE = b'data: [DONE]\n\n'
 
 
 class AttachmentWriter:
-    """Streams one attachment until its end, a fence or a lost caller.
+    """Streams a record to one attachment.
 
-    At most ``max_buffer_bytes`` are handed to the connection before it
-    has taken the last ones: a slow reader holds no more than that, and
-    the rest stays in the record, where it is kept for a resume anyway.
+    The stream stops at the record's end, when a newer attachment
+    replaces this one, or when the caller is lost. About
+    ``max_buffer_bytes`` are written before the connection has taken the
+    previous ones, which bounds the memory that a slow caller uses. The
+    other events stay in the record, which keeps them for a resume.
 
     Parameters
     ----------
@@ -31,15 +34,15 @@
     live : LiveRecord
         The record.
     attachment : Attachment
-        The attachment this connection holds.
+        The attachment of this connection.
     write_stall_s : float
-        Longest time a write may wait for the caller to read.
+        Longest time that a write may wait for the caller to read.
     keep_alive_s : float
-        Silence after which a comment is written. It keeps proxies from
-        closing the connection, and a caller whose link is dead shows,
-        because its writes stall.
+        Time without an event after which a comment is written. Comments
+        keep proxies from closing the connection, and reveal dead
+        connections, because writes to them stall.
     max_buffer_bytes : int
-        Most bytes written at a time.
+        Size at which a batch of events is written.
     """
 
     __slots__ = (
@@ -74,7 +77,7 @@
         return f'{type(self).__name__}(live={self._live!r})'
 
     async def run(self) -> bool:
-        """Write until the end; return whether the caller got it all."""
+        """Write the stream; return whether all of it was written."""
         try:
             return await self._run()
         except (tornado.iostream.StreamClosedError, TimeoutError):
--- a/limpetroute/entry/callers/base_handler.py
+++ b/limpetroute/entry/callers/base_handler.py
@@ -1,4 +1,4 @@
-"""What all handlers of the entry process share."""
+"""Base class of all HTTP handlers of the entry process."""
 
 import http.client
 import math
@@ -26,18 +26,18 @@
 
 
 class BaseHandler(tornado.web.RequestHandler):
-    """Answers in the ecosystem's error shape."""
+    """Authenticates callers, relays requests and formats errors."""
 
     host: host_module.Host
     _team: str | None = None
     _gone = False
 
     def initialize(self, host: host_module.Host) -> None:
-        """Take the process's shared state."""
+        """Keep the state that all handlers share."""
         self.host = host
 
     def prepare(self) -> None:
-        """Take up the caller's trace and refuse headers past the limits."""
+        """Continue the caller's trace and reject headers over the limits."""
         self.host.exchanges.add(self)
         trace_context.receive(self.request.headers.get(trace_context.HEADER))
         fields = list(self.request.headers.get_all())
@@ -51,7 +51,7 @@
         )
 
     def on_finish(self) -> None:
-        """Note that the request is answered."""
+        """Remove the request from those in progress."""
         self.host.exchanges.discard(self)
 
     @property
@@ -66,8 +66,8 @@
         """The caller's idempotency key."""
         return self.request.headers.get('Idempotency-Key')
 
-    def has_fit_key(self) -> bool:
-        """Whether the key can be used, or is absent; answer 400 if not."""
+    def has_valid_key(self) -> bool:
+        """Whether the key is valid or absent; answer 400 if not."""
         if self.key is None or 1 <= len(self.key) <= MAX_KEY_CHARS:
             return True
         self.fail(
@@ -81,14 +81,14 @@
     def authenticate(self) -> bool:
         """Find the caller's team; answer 401 if there is none."""
         if self.request.path.startswith(peer_relay.PREFIX):
-            # Only the internal port has these paths, and a peer that
-            # has authenticated the caller calls them.
+            # Only the internal port serves these paths, and the peer
+            # that relays the request has authenticated the caller.
             self._team = self.request.headers.get(peer_relay.TEAM_HEADER)
             if self._team is not None:
                 return True
         index = self.host.manifest_index
         if not index.has_tokens:
-            return self._believe()
+            return self._use_team_header()
         given = self.request.headers.get('Authorization', '')
         if given[: len(BEARER)].lower() == BEARER:
             self._team = index.team_of(given[len(BEARER) :].strip())
@@ -102,7 +102,7 @@
         )
         return False
 
-    def _believe(self) -> bool:
+    def _use_team_header(self) -> bool:
         self._team = DEFAULT_TEAM
         given = self.request.headers.get('Limpetroute-Team')
         if given is None or not self.host.settings.believe_team_header:
@@ -120,7 +120,7 @@
 
     @property
     def is_relayed(self) -> bool:
-        """Whether a peer passed the request on."""
+        """Whether a peer relayed the request."""
         return self.request.path.startswith(peer_relay.PREFIX)
 
     async def relay(
@@ -131,12 +131,13 @@
         run_id: str = '',
         body: bytes = b'',
     ) -> bool:
-        """Have the peer that holds a request answer.
+        """Relay the request to the peer that holds its record.
 
         Returns
         -------
         bool
-            False if no other host holds it, and this one is to answer.
+            False if no other host holds the record, so that this host
+            must answer.
         """
         peers = self.host.peers
         if peers is None or self.is_relayed:
@@ -173,10 +174,10 @@
             self.host.peers.lookup.settle(self.team, key)
 
     def on_connection_close(self) -> None:
-        """Note that the caller is gone."""
+        """Note that the caller has disconnected."""
         self._gone = True
         self.host.exchanges.discard(self)
-        # Ends the wait for the rest of a body that will never come.
+        # The superclass ends the wait for the rest of the body.
         super().on_connection_close()
 
     def fail(
@@ -196,7 +197,7 @@
         self.set_status(status, http.client.responses.get(status, 'Error'))
         self.set_header('Limpetroute-Outcome', outcome)
         if status == http.HTTPStatus.CONFLICT:
-            # Client libraries repeat a 409 by themselves.
+            # Client libraries retry a 409 unless this header forbids it.
             self.set_header('x-should-retry', 'false')
         if retry_after_s is not None:
             self.set_header('Retry-After', str(math.ceil(retry_after_s)))
@@ -212,7 +213,7 @@
         )
 
     def fail_with_end(self, end: run_end.RunEnd) -> None:
-        """Finish with the error that an unsuccessful end stands for."""
+        """Finish with the error for an unsuccessful end of a run."""
         self.fail(
             end_status.status_of(end),
             end_status.message_of(end),
@@ -222,21 +223,22 @@
         )
 
     def write_error(self, status_code: int, **kwargs: typing.Any) -> None:
-        """Answer errors raised inside tornado in the same shape."""
+        """Send errors that tornado raises in the same format."""
         reason = http.client.responses.get(status_code, 'Error')
         code = reason.lower().replace(' ', '_')
-        # A fault of ours may come after something was sent to a runner.
-        broken = status_code >= INTERNAL_ERROR
+        # An internal error may occur after the request was sent to a
+        # runner, so its outcome is unknown.
+        is_internal = status_code >= INTERNAL_ERROR
         self.fail(
             status_code,
             reason,
             code=code,
-            outcome='unknown' if broken else 'not_run',
+            outcome='unknown' if is_internal else 'not_run',
         )
 
 
 class NotFoundHandler(BaseHandler):
-    """Answers paths that do not exist."""
+    """Answers requests for paths that do not exist."""
 
     def prepare(self) -> None:
         """Answer 404."""
--- a/limpetroute/entry/callers/body_handler.py
+++ b/limpetroute/entry/callers/body_handler.py
@@ -1,4 +1,4 @@
-"""Takes a caller's body with bounds on its size and time."""
+"""Receives request bodies with limits on their size and duration."""
 
 import asyncio
 import typing
@@ -15,23 +15,23 @@
 class BodyHandler(base_handler.BaseHandler):
     """Collects a body of at most ``max_body_bytes``.
 
-    A body past the limit is read and dropped up to a few times the
-    limit before the answer goes out: closing a connection with unread
-    data resets it, and the caller would see a broken connection in
-    place of the 413.
+    A larger body is read and discarded, up to ``DISCARD_FACTOR`` times
+    the limit, before the answer is sent: closing a connection with
+    unread data resets it, and the caller would see a broken connection
+    instead of the 413.
     """
 
     def initialize(self, host: host_module.Host) -> None:
-        """Take the shared state, and expect a body."""
+        """Keep the shared state, and start with an empty body."""
         super().initialize(host)
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size_bytes = 0
-        self._slow: asyncio.TimerHandle | None = None
+        self._timer: asyncio.TimerHandle | None = None
 
     @property
     def body(self) -> bytes:
         """The whole body."""
-        return b''.join(self._parts)
+        return b''.join(self._chunks)
 
     @property
     def _limit_bytes(self) -> int:
@@ -49,26 +49,29 @@
             self._fail_too_large()
             return
         loop = asyncio.get_running_loop()
-        self._slow = loop.call_later(
-            self.host.settings.body_timeout_s, self._fail_slow
+        self._timer = loop.call_later(
+            self.host.settings.body_timeout_s, self._fail_timeout
         )
 
     def data_received(self, chunk: bytes) -> typing.Awaitable[None] | None:
-        """Keep a chunk, or drop it past the limit."""
+        """Keep a chunk, or discard the body if it exceeds the limit."""
         if self._finished:
             return None
         self._size_bytes += len(chunk)
         if self._size_bytes <= self._limit_bytes:
-            self._parts.append(chunk)
+            self._chunks.append(chunk)
             return None
-        self._parts.clear()
+        self._chunks.clear()
         if self._size_bytes > DISCARD_FACTOR * self._limit_bytes:
             self._fail_too_large()
         return None
 
     def body_is_whole(self) -> bool:
-        """End the time limit; answer 413 for a body that is too large."""
-        self._stop_clock()
+        """Whether the body is complete; answer 413 if it is too large.
+
+        This ends the body's time limit.
+        """
+        self._cancel_timer()
         if self._finished:
             return False
         if self._size_bytes > self._limit_bytes:
@@ -77,23 +80,23 @@
         return True
 
     def on_connection_close(self) -> None:
-        """End the time limit."""
-        self._stop_clock()
+        """Cancel the timer of the body."""
+        self._cancel_timer()
         super().on_connection_close()
 
     def on_finish(self) -> None:
-        """End the time limit and drop the body."""
+        """Cancel the timer and discard the body."""
         super().on_finish()
-        self._stop_clock()
-        self._parts.clear()
+        self._cancel_timer()
+        self._chunks.clear()
 
-    def _stop_clock(self) -> None:
-        if self._slow is not None:
-            self._slow.cancel()
-            self._slow = None
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
 
-    def _fail_slow(self) -> None:
-        self._slow = None
+    def _fail_timeout(self) -> None:
+        self._timer = None
         if self._finished:
             return
         self.fail(
--- a/limpetroute/entry/callers/completions_handler.py
+++ b/limpetroute/entry/callers/completions_handler.py
@@ -14,7 +14,7 @@
 from limpetroute.entry.runs import run_request
 from limpetroute.peers import run_end
 
-# Sent by the official client libraries with each try after the first.
+# The official client libraries send this header with each retry.
 RETRY_COUNT_HEADER = 'x-stainless-retry-count'
 MAX_COUNT_DIGITS = 9
 
@@ -22,17 +22,17 @@
 
 
 class CompletionsHandler(answer_handler.AnswerHandler):
-    """Starts a run, or attaches to the one its key names."""
+    """Starts a run, or attaches to the existing one under the key."""
 
     def initialize(  # type: ignore[override]
         self, host: host_module.Host, chat: bool
     ) -> None:
-        """Take the shared state and the shape wanted."""
+        """Keep the shared state and the API variant."""
         super().initialize(host)
         self._chat = chat
 
     async def post(self) -> None:
-        """Answer one request."""
+        """Start, repeat or resume a request."""
         if not self.body_is_whole() or not self.authenticate():
             return
         model: type[typing.Any] = completion_body.CompletionBody
@@ -71,7 +71,7 @@
                 param='Last-Event-ID',
             )
             return
-        if self._is_other(live, digest):
+        if self._refuse_other_body(live, digest):
             return
         if index >= len(live.record.events):
             self._fail_event_id(last_event_id)
@@ -83,11 +83,11 @@
     ) -> live_record.LiveRecord | None:
         key = self.key
         if key is None:
-            # A caller that goes before it was told the request's name
-            # cannot come back for it.
+            # A caller that disconnects before it received the request id
+            # cannot resume the request.
             self._grace_s = 0.0
             return self._start(body, digest, None)
-        if not self.has_fit_key():
+        if not self.has_valid_key():
             return None
         if await self.relay(key=key, body=self.body):
             return None
@@ -101,12 +101,12 @@
     def _find_or_start_here(
         self, body: Body, digest: str, key: str
     ) -> live_record.LiveRecord | None:
-        # Asked for again after the wait: another connection may have
-        # started the same key meanwhile.
+        # The key is looked up again, because another connection may have
+        # started a request under it during `relay`.
         live = self.host.records.by_key(self.team, key)
         if live is None:
             return self._start(body, digest, key)
-        if self._is_other(live, digest):
+        if self._refuse_other_body(live, digest):
             return None
         return self._repeat(live, body, digest, key)
 
@@ -120,7 +120,7 @@
             )
             return None
         text = body.text()
-        if self._is_unfit(body.model, text):
+        if self._refuse_model_or_prompt(body.model, text):
             return None
         request_id = host_module.new_request_id()
         return self.host.submit(
@@ -134,21 +134,21 @@
                 max_tokens=body.token_limit(),
                 chat=self._chat,
                 include_usage=body.include_usage,
-                returning=self._is_returning(),
+                returning=self._is_retry(),
                 options=body.options,
             )
         )
 
-    def _is_returning(self) -> bool:
-        """Whether the client library says that this is another try.
+    def _is_retry(self) -> bool:
+        """Whether the client library marks the request as a retry.
 
-        A caller that was told to come back may reach another host,
-        which knows nothing of its appointment but this header.
+        A caller that retries after ``Retry-After`` may reach another
+        host, which can recognize the retry only by this header.
         """
         count = self.request.headers.get(RETRY_COUNT_HEADER, '0')
         return count.isdecimal() and int(count[:MAX_COUNT_DIGITS]) > 0
 
-    def _is_unfit(self, model: str, text: str) -> bool:
+    def _refuse_model_or_prompt(self, model: str, text: str) -> bool:
         if not self.host.knows_model(model):
             self.host.meters.refused('unknown_model')
             self.fail(
@@ -172,7 +172,9 @@
         )
         return True
 
-    def _is_other(self, live: live_record.LiveRecord, digest: str) -> bool:
+    def _refuse_other_body(
+        self, live: live_record.LiveRecord, digest: str
+    ) -> bool:
         if live.record.body_digest == digest:
             return False
         self.fail(
@@ -193,8 +195,8 @@
         record = live.record
         end = record.end
         if end is not None and end.kind is not run_end.EndKind.COMPLETED:
-            # No whole answer came of it, and a model's answer changes
-            # nothing in the world: the repeat starts over.
+            # The earlier run has no complete answer, and a completion
+            # has no side effects, so the repeat starts a new run.
             return self._start(body, digest, key)
         if not record.end_delivered:
             return live
--- a/limpetroute/entry/callers/connections.py
+++ b/limpetroute/entry/callers/connections.py
@@ -1,4 +1,4 @@
-"""Limits of the callers' connections, set on the listening socket."""
+"""Socket options that limit the callers' connections."""
 
 import socket
 
@@ -7,28 +7,30 @@
 KEEP_ALIVE_PROBES = 3
 
 
-def bound(
+def limit_connections(
     listener: socket.socket, *, send_buffer_bytes: int, stall_s: float
 ) -> None:
-    """Bound what a connection may hold and how long it may be silent.
+    """Limit the send buffer and the silence of accepted connections.
 
-    Connections inherit these from the socket that accepts them. Without
-    a fixed send buffer the kernel grows it to megabytes for each slow
-    reader. A caller whose link drops packets brings neither FIN nor
-    RST: keep-alive probes find it while nothing is written, and
-    unacknowledged data ends the connection after ``stall_s``.
+    Accepted connections inherit the options of the listening socket.
+    Without a fixed send buffer the kernel grows it to megabytes for
+    each slow reader. A caller whose link drops all packets sends
+    neither FIN nor RST: keep-alive probes detect it while nothing is
+    written, and unacknowledged data ends the connection after
+    ``stall_s``.
 
     Parameters
     ----------
     listener : socket
         The listening socket.
     send_buffer_bytes : int
-        Most bytes of one connection that the kernel holds.
+        Most unsent or unacknowledged bytes that the kernel buffers for
+        one connection.
     stall_s : float
         Longest time that sent data may stay unacknowledged.
     """
     level = socket.SOL_SOCKET
-    # The kernel doubles the number for its own bookkeeping.
+    # The kernel doubles the value to allow for its own bookkeeping.
     listener.setsockopt(level, socket.SO_SNDBUF, send_buffer_bytes // 2)
     listener.setsockopt(level, socket.SO_KEEPALIVE, 1)
     level = socket.IPPROTO_TCP
--- a/limpetroute/entry/callers/end_status.py
+++ b/limpetroute/entry/callers/end_status.py
@@ -1,4 +1,4 @@
-"""How the end of a run is told over HTTP."""
+"""HTTP status, error code and message for the end of a run."""
 
 import http
 import typing
@@ -26,7 +26,7 @@
 
 
 def status_of(end: run_end.RunEnd) -> int:
-    """Return the HTTP status that stands for an end."""
+    """Return the HTTP status for the end of a run."""
     if end.kind is run_end.EndKind.NOT_RUN:
         usual = STATUS_OF_KIND[end.kind]
         return int(NOT_RUN_STATUS.get(end.finish_reason, usual))
@@ -37,12 +37,12 @@
 
 
 def code_of(end: run_end.RunEnd) -> str:
-    """Return the error code that stands for an end."""
+    """Return the error code for the end of a run."""
     return CODE_OF_REASON.get(end.finish_reason, end.finish_reason)
 
 
 def message_of(end: run_end.RunEnd) -> str:
-    """Return what a caller is told of an end that is no answer."""
+    """Return the error message for an unsuccessful end of a run."""
     if end.kind is run_end.EndKind.NOT_RUN:
         return f'the request was not run: {end.finish_reason}'
     if end.kind is run_end.EndKind.CANCELLED:
--- a/limpetroute/entry/callers/event_id.py
+++ b/limpetroute/entry/callers/event_id.py
@@ -1,4 +1,4 @@
-"""The ids of streamed events: ``<run>-<index>``."""
+"""Ids of streamed events, in the form ``<run>-<index>``."""
 
 import re
 
@@ -6,7 +6,7 @@
 
 
 def parse(text: str) -> tuple[str, int] | None:
-    """Return the run and the index, or None if it is no event id."""
+    """Return run id and event index, or None if the text is no event id."""
     found = _PATTERN.fullmatch(text.strip())
     if found is None:
         return None
--- a/limpetroute/entry/callers/metrics_handler.py
+++ b/limpetroute/entry/callers/metrics_handler.py
@@ -1,4 +1,4 @@
-"""``GET /metrics`` of the internal port."""
+"""``GET /metrics`` on the internal port."""
 
 from limpetroute.entry.callers import base_handler
 
@@ -6,10 +6,10 @@
 
 
 class MetricsHandler(base_handler.BaseHandler):
-    """Shows the metrics in Prometheus' text form."""
+    """Returns the metrics in the Prometheus text format."""
 
     def get(self) -> None:
-        """Answer with all metrics, or 404 where they are pushed."""
+        """Answer with all metrics, or 404 if they are pushed instead."""
         text = self.host.exports.text()
         if text is None:
             self.fail(HTTP_NOT_FOUND, 'metrics are pushed', code='not_here')
--- a/limpetroute/entry/callers/models_handler.py
+++ b/limpetroute/entry/callers/models_handler.py
@@ -4,10 +4,10 @@
 
 
 class ModelsHandler(base_handler.BaseHandler):
-    """Lists the models that runners carry now."""
+    """Lists the models that the current runners serve."""
 
     def get(self) -> None:
-        """Answer the list."""
+        """Answer with the list."""
         names: set[str] = set()
         for body in self.host.runners.all():
             names.update(body.models)
--- a/limpetroute/entry/callers/request_handler.py
+++ b/limpetroute/entry/callers/request_handler.py
@@ -1,27 +1,27 @@
-"""``GET`` and ``DELETE /v1/requests/{id}``: state of a request."""
+"""``GET`` and ``DELETE /v1/requests/{id}``."""
 
 from limpetroute.entry.callers import base_handler
 from limpetroute.entry.records import live_record
 
 
 class RequestHandler(base_handler.BaseHandler):
-    """Shows a request, or cancels it."""
+    """Returns the state of a request, or cancels it."""
 
     async def get(self, request_id: str) -> None:
-        """Show the state."""
+        """Answer with the state of the request."""
         live = await self._find(request_id)
         if live is not None:
-            self._show(live)
+            self._answer_state(live)
 
     async def delete(self, request_id: str) -> None:
-        """Cancel at once; a request that has ended stays as it is."""
+        """Cancel a request; this does not change one that has ended."""
         live = await self._find(request_id)
         if live is None:
             return
         live.cancel('cancelled_by_caller')
         if live.task is not None:
             await live.ended()
-        self._show(live)
+        self._answer_state(live)
 
     async def _find(self, request_id: str) -> live_record.LiveRecord | None:
         if not self.authenticate():
@@ -33,7 +33,7 @@
             self.fail(404, 'no such request', code='request_not_found')
         return live
 
-    def _show(self, live: live_record.LiveRecord) -> None:
+    def _answer_state(self, live: live_record.LiveRecord) -> None:
         record = live.record
         end = record.end
         outcome = base_handler.PENDING if end is None else str(end.kind)
--- a/limpetroute/entry/callers/runners_handler.py
+++ b/limpetroute/entry/callers/runners_handler.py
@@ -1,4 +1,4 @@
-"""``POST /v1/runners``: announcements, and the list of them."""
+"""``POST`` and ``GET /v1/runners``."""
 
 from limpetroute.border import announcement
 from limpetroute.border import errors
@@ -6,10 +6,10 @@
 
 
 class RunnersHandler(base_handler.BaseHandler):
-    """Takes announcements and shows the runners known."""
+    """Receives the runners' announcements and lists known runners."""
 
     def post(self) -> None:
-        """Take one announcement."""
+        """Receive one announcement."""
         try:
             body = errors.parse(
                 announcement.AnnouncementBody, self.request.body
@@ -21,6 +21,6 @@
         self.set_status(204)
 
     def get(self) -> None:
-        """Show the runners known."""
+        """Answer with the newest announcement of each known runner."""
         found = [body.model_dump() for body in self.host.runners.all()]
         self.finish({'runners': found})
--- a/limpetroute/entry/callers/service_handler.py
+++ b/limpetroute/entry/callers/service_handler.py
@@ -1,4 +1,4 @@
-"""``/v1/services/{service}/{path}``: calls of plain services."""
+"""``/v1/services/{service}/{path}``: calls to plain services."""
 
 import asyncio
 import hashlib
@@ -16,9 +16,12 @@
 
 
 class ServiceHandler(body_handler.BodyHandler):
-    """Routes one call, once or with retries as the manifest says."""
+    """Routes a call, at most once or with retries.
 
-    _waiting: 'asyncio.Task[service_outcome.ServiceOutcome] | None' = None
+    The manifest's rules decide whether a call may be retried.
+    """
+
+    _pending_call: 'asyncio.Task[service_outcome.ServiceOutcome] | None' = None
 
     async def get(self, service: str, path: str) -> None:
         """Route a call."""
@@ -45,49 +48,51 @@
         await self._route(service, path)
 
     def on_connection_close(self) -> None:
-        """Stop waiting for a caller who has gone."""
+        """Stop waiting for the outcome once the caller has disconnected."""
         super().on_connection_close()
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._pending_call is not None:
+            self._pending_call.cancel()
 
     async def _route(self, service: str, path: str) -> None:
         if not self.body_is_whole() or not self.authenticate():
             return
-        plain = '/' + path
-        if not call_rules.is_plain(plain):
+        service_path = '/' + path
+        if not call_rules.is_plain(service_path):
             self.fail(
-                400, f'path: {plain[:80]!r} is ambiguous', code='invalid_path'
+                400,
+                f'path: {service_path[:80]!r} is ambiguous',
+                code='invalid_path',
             )
             return
         rules = self.host.manifest_index.service(service)
-        desk = self.host.services
-        if rules is None and not desk.pool.knows(service):
+        dispatcher = self.host.services
+        if rules is None and not dispatcher.pool.knows(service):
             self.fail(
                 404,
                 f'the service {service[:80]!r} does not exist',
                 code='service_not_found',
             )
             return
-        if not self.has_fit_key():
+        if not self.has_valid_key():
             return
         timeout_s = rules.timeout_s if rules else DEFAULT_TIMEOUT_S
         call = self._call(service, path, self.key, timeout_s)
         self.set_header('Limpetroute-Request-Id', call.key)
         method = str(self.request.method)
-        if call_rules.is_repeatable(rules, method, plain):
-            work = desk.repeatable(call)
+        if call_rules.is_repeatable(rules, method, service_path):
+            pending = dispatcher.repeatable(call)
         else:
-            work = desk.once(
+            pending = dispatcher.once(
                 self.team,
                 self._digest(call),
                 call,
                 key_is_generated=self.key is None,
             )
-        # Only the wait is this handler's: a once-only call goes on in a
-        # task of its own when its caller goes.
-        self._waiting = asyncio.ensure_future(work)
+        # If the caller disconnects, only this wait is cancelled: an
+        # at-most-once call continues in its own task.
+        self._pending_call = asyncio.ensure_future(pending)
         try:
-            outcome = await self._waiting
+            outcome = await self._pending_call
         except asyncio.CancelledError:
             return
         self._answer(outcome)
@@ -120,7 +125,7 @@
 
     def _answer(self, outcome: service_outcome.ServiceOutcome) -> None:
         if isinstance(outcome, service_outcome.Answered):
-            self._pass_on(outcome)
+            self._send_reply(outcome)
             return
         if isinstance(outcome, service_outcome.KeyReused):
             self.fail(
@@ -168,11 +173,11 @@
             retry_after_s=outcome.retry_after_s,
         )
 
-    def _pass_on(self, outcome: service_outcome.Answered) -> None:
+    def _send_reply(self, outcome: service_outcome.Answered) -> None:
         reply = outcome.reply
-        told = 'already_delivered' if outcome.stored else 'completed'
+        outcome_header = 'already_delivered' if outcome.stored else 'completed'
         self.set_status(reply.status)
-        self.set_header('Limpetroute-Outcome', told)
+        self.set_header('Limpetroute-Outcome', outcome_header)
         self.clear_header('Content-Type')
         if reply.content_type:
             self.set_header('Content-Type', reply.content_type)
--- a/limpetroute/entry/operators/__init__.py
+++ b/limpetroute/entry/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Operators: status, requests, drain."""
+"""HTTP handlers for operators: status, requests and drains."""
--- a/limpetroute/entry/operators/operator_drain_handler.py
+++ b/limpetroute/entry/operators/operator_drain_handler.py
@@ -1,4 +1,4 @@
-"""``POST`` and ``DELETE`` of drains on the internal port."""
+"""Handlers on the internal port that start and end drains."""
 
 import logging
 
@@ -10,10 +10,10 @@
 
 
 class OperatorDrainRunnerHandler(base_handler.BaseHandler):
-    """Marks a runner as one that gets no new work from this host."""
+    """Drains a runner: this host sends it no new work."""
 
     def post(self, runner_id: str) -> None:
-        """Set the mark; what runs there goes on to its end."""
+        """Start the drain; work on the runner continues to its end."""
         body = self.host.runners.get(runner_id)
         self.host.drain_runner(runner_id)
         running = body.report.running if body and body.report else 0
@@ -28,22 +28,22 @@
         )
 
     def delete(self, runner_id: str) -> None:
-        """Take the mark away."""
+        """End the drain."""
         self.host.undrain_runner(runner_id)
         self.finish({'runner_id': runner_id})
 
 
 class OperatorDrainHostHandler(base_handler.BaseHandler):
-    """Makes this host refuse new work, or take it again."""
+    """Drains this host: it refuses new work."""
 
     def post(self) -> None:
-        """Refuse new work; what is in progress goes on to its end."""
-        LOG.info('host drained by an operator')
+        """Start the drain; work in progress continues to its end."""
+        LOG.info('operator started the drain of this host')
         self.host.draining = True
         self.finish({'draining': True})
 
     def delete(self) -> None:
-        """Take new work again."""
-        LOG.info('host given work again')
+        """End the drain."""
+        LOG.info('operator ended the drain of this host')
         self.host.draining = False
         self.finish({'draining': False})
--- a/limpetroute/entry/operators/operator_requests_handler.py
+++ b/limpetroute/entry/operators/operator_requests_handler.py
@@ -1,4 +1,4 @@
-"""``GET /v1/operator/requests`` of the internal port."""
+"""``GET /v1/operator/requests`` on the internal port."""
 
 import typing
 
@@ -9,24 +9,24 @@
 
 
 class OperatorRequestsHandler(base_handler.BaseHandler):
-    """Lists requests, never their texts or keys."""
+    """Lists requests, without their texts and keys."""
 
     def get(self) -> None:
-        """Answer with the requests in progress, or with all kept."""
-        ended_too = self.get_query_argument('all', '') == '1'
+        """Answer with the requests in progress, or with all records."""
+        include_ended = self.get_query_argument('all', '') == '1'
         found: list[dict[str, typing.Any]] = []
         hidden = 0
         for live in self.host.records:
-            if live.record.end is not None and not ended_too:
+            if live.record.end is not None and not include_ended:
                 continue
             if len(found) >= MAX_SHOWN:
                 hidden += 1
                 continue
-            found.append(_row(live))
+            found.append(_summary(live))
         self.finish({'requests': found, 'not_shown': hidden})
 
 
-def _row(live: live_record.LiveRecord) -> dict[str, typing.Any]:
+def _summary(live: live_record.LiveRecord) -> dict[str, typing.Any]:
     record = live.record
     return {
         'request_id': record.request_id,
--- a/limpetroute/entry/operators/operator_status_handler.py
+++ b/limpetroute/entry/operators/operator_status_handler.py
@@ -1,4 +1,4 @@
-"""``GET /v1/operator/status`` of the internal port."""
+"""``GET /v1/operator/status`` on the internal port."""
 
 import os
 import time
@@ -7,10 +7,10 @@
 
 
 class OperatorStatusHandler(base_handler.BaseHandler):
-    """Shows how this host is."""
+    """Returns the state of this host."""
 
     def get(self) -> None:
-        """Answer with one object of plain values."""
+        """Answer with the state as a JSON object."""
         host = self.host
         manifest = host.manifest
         self.finish(
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -220,7 +220,7 @@
         )
         self._new_epoch(self._epoch)
 
-    def choose_heir(self, view: member_view.MemberView) -> None:
+    def choose_successor(self, view: member_view.MemberView) -> None:
         """Choose a new successor if the current one does not work."""
         working = {
             item.host_id: item.zone
@@ -237,7 +237,7 @@
             )
             heir_id = ranked[0] if ranked else ''
             if heir_id != self.sender.heir_id:
-                LOG.info('copies go to %s', heir_id or 'nobody')
+                LOG.info('copies go to host %s', heir_id or '(none)')
             self.sender.set_heir(heir_id)
         if heir_id and not self.sender.uncopied:
             self._leases.name_heir(HOST_RESOURCE_PREFIX + self._owner, heir_id)
--- a/limpetroute/entry/peering/peer_grants.py
+++ b/limpetroute/entry/peering/peer_grants.py
@@ -100,7 +100,7 @@
         return self.ledger.start(runner_id, work_id, peer_clock.clock_s())
 
     def renew(self) -> None:
-        """Renew grants that are due, and register them at new lease holders."""
+        """Renew grants that are due, also at new lease holders."""
         now_s = peer_clock.clock_s()
         holders = {}
         for runner_id in {line.runner_id for line in self.ledger.lines()}:
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -317,7 +317,7 @@
         ):
             self._send_grant_message(item, now_s)
         self.copies.check_lease()
-        self.copies.choose_heir(view)
+        self.copies.choose_successor(view)
         self.copies.take_over(view)
 
     async def _renew(self) -> None:
--- a/limpetroute/entry/server.py
+++ b/limpetroute/entry/server.py
@@ -1,4 +1,4 @@
-"""The entry process's two ports."""
+"""HTTP servers for the two ports of the entry process."""
 
 import logging
 import socket
@@ -27,8 +27,8 @@
 
 LOG = logging.getLogger(__name__)
 
-# Past these, tornado closes without an answer. The handlers' own limits
-# lie below, and answer in the ecosystem's shape.
+# Above these limits tornado closes the connection without an answer.
+# The handlers' own limits are lower and are answered with an error body.
 MAX_HEADER_BYTES = 256 << 10
 MAX_BODY_BYTES = 1 << 40
 IDLE_CONNECTION_S = 75.0
@@ -79,11 +79,11 @@
         return f'{scheme}://{listen.address}:{self.internal_port}'
 
     async def stop(self) -> None:
-        """Finish what is in progress, then close both ports.
+        """Finish the work in progress, then close both ports.
 
-        The ports stay open meanwhile: callers are told that this host
-        takes no new work and may still resume what it holds, and the
-        runners' heartbeats keep the runs in progress alive.
+        The ports stay open during the drain: new requests are refused
+        with an error, callers may resume requests that this host holds,
+        and the runners' heartbeats keep the runs in progress alive.
         """
         await self.host.drain()
         for server in self._servers:
@@ -117,13 +117,13 @@
         )
         sockets = tornado.netutil.bind_sockets(listen.port, listen.address)
         for item in sockets:
-            self._bound(item)
+            self._limit_connections(item)
         server.add_sockets(sockets)
         self._servers.append(server)
         return int(sockets[0].getsockname()[1])
 
-    def _bound(self, item: socket.socket) -> None:
-        connections.bound(
+    def _limit_connections(self, item: socket.socket) -> None:
+        connections.limit_connections(
             item,
             send_buffer_bytes=self._settings.max_buffer_bytes,
             stall_s=self._settings.write_stall_s,
