--- a/tests/entry/fleet.py
+++ b/tests/entry/fleet.py
@@ -41,7 +41,7 @@
     limit_s: float = 30.0,
     **kwargs: typing.Any,
 ) -> None:
-    """Run a story against a fleet of its own."""
+    """Run a scenario against a new fleet."""
 
     async def whole() -> None:
         async with Fleet(**kwargs) as fleet:
@@ -54,10 +54,10 @@
 async def until(
     check: typing.Callable[[], bool], *, limit_s: float = 5.0
 ) -> float:
-    """Wait until ``check`` holds; return how long that took."""
+    """Wait until ``check`` returns true; return the elapsed seconds."""
     start_s = time.monotonic()
     while not check():
-        assert time.monotonic() - start_s < limit_s, 'never came true'
+        assert time.monotonic() - start_s < limit_s, 'condition stayed false'
         await asyncio.sleep(0.005)
     return time.monotonic() - start_s
 
@@ -149,7 +149,7 @@
         return sum(engine.state.counts[name] for engine in self.engines)
 
     def starts(self) -> dict[str, int]:
-        """Return how often each run id was started, by engine role."""
+        """Return the number of starts per engine role and run id."""
         found: dict[str, int] = {}
         for engine in self.engines:
             for run_id, count in engine.state.run_starts.items():
--- a/tests/entry/memory_claim_store.py
+++ b/tests/entry/memory_claim_store.py
@@ -1,4 +1,4 @@
-"""A claim store in memory, whose answers can be made to fail."""
+"""An in-memory claim store with failures that tests can inject."""
 
 import dataclasses
 
--- a/tests/entry/raw_caller.py
+++ b/tests/entry/raw_caller.py
@@ -1,4 +1,4 @@
-"""A caller on a bare socket, which can go away in every way."""
+"""An HTTP client on a raw socket that can close it by FIN or RST."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class RawCaller:
-    """One connection, one request at a time."""
+    """One connection that sends one request at a time."""
 
     def __init__(self, port: int, *, receive_bytes: int | None = None) -> None:
         self._port = port
@@ -120,7 +120,7 @@
 
 
 def events_in(data: bytes) -> list[tuple[str | None, typing.Any]]:
-    """Return the whole events of a chunked stream."""
+    """Return the complete events of a chunked stream."""
     plain = re.sub(rb'\r\n[0-9a-f]+\r\n', b'', b'\r\n' + data)
     plain = re.sub(rb'\r\n[0-9a-f]*$', b'', plain)
     found = []
--- a/tests/entry/silent_proxy.py
+++ b/tests/entry/silent_proxy.py
@@ -1,13 +1,13 @@
-"""A proxy in front of a runner that can stop copying for good."""
+"""A proxy before a runner that can stop to forward data."""
 
 import asyncio
 
 
 class SilentProxy:
-    """Copies bytes until `silence`; then old connections stay open.
+    """Forwards bytes until `silence`, which keeps connections open.
 
-    Connections made after that work: something between the two ends has
-    lost track of the old ones alone.
+    Connections made after `silence` work. This simulates a network
+    device that has lost the state of older connections.
     """
 
     def __init__(self, target_port: int) -> None:
@@ -22,7 +22,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def silence(self) -> None:
-        """Stop copying on all connections that are open now."""
+        """Stop forwarding on all connections that are open now."""
         self._copying.clear()
         self._copying = asyncio.Event()
         self._copying.set()
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -29,8 +29,8 @@
 
 @pytest.mark.parametrize(('body', 'status', 'code'), CASES)
 def test_bad_bodies(body: bytes, status: int, code: str) -> None:
-    # A caller sends what cannot be run. It is told so in the shape its
-    # library knows, and nothing is sent to a runner.
+    # A request that cannot run gets an error in OpenAI's format, and
+    # nothing is sent to a runner.
     async def story(fleet: fleet_module.Fleet) -> None:
         got, headers, answer = await raw_caller.fetch(
             fleet, 'POST', '/v1/completions', body
@@ -45,8 +45,8 @@
 
 
 def test_chunked_body_past_the_limit() -> None:
-    # A body without a length grows for ever. It is cut at the limit and
-    # the host's memory does not grow with it.
+    # A chunked body without an end is rejected at the limit, so it cannot
+    # fill the host's memory.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = raw_caller.RawCaller(fleet.port)
         await caller.send_raw(
@@ -70,8 +70,7 @@
 
 
 def test_slow_body() -> None:
-    # A body comes a byte at a time. Its caller is told after the limit
-    # and the connection is closed.
+    # A body that does not arrive within the time limit gets a 408.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = raw_caller.RawCaller(fleet.port)
         await caller.send_raw(
@@ -92,7 +91,7 @@
     ],
 )
 def test_too_many_headers(lines: bytes) -> None:
-    # More or longer headers than any client library sends.
+    # More or longer headers than any client library sends get a 431.
     async def story(fleet: fleet_module.Fleet) -> None:
         for path in (b'/v1/completions', b'/v1/models', b'/nowhere'):
             caller = raw_caller.RawCaller(fleet.port)
@@ -109,7 +108,8 @@
 
 
 def test_over_long_key() -> None:
-    # A key longer than the limit would fill the records' index.
+    # Keys over the limit are rejected, because they would fill the
+    # index of records.
     async def story(fleet: fleet_module.Fleet) -> None:
         for key in ('', 'k' * 300):
             status, _, body = await raw_caller.fetch(
@@ -125,8 +125,8 @@
 
 
 def test_over_long_prompt() -> None:
-    # The manifest limits the prompts of a model. A longer one is told
-    # so before it costs a prefill.
+    # A prompt over the manifest's limit for the model is rejected before
+    # it uses a prefill.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.host.manifest = manifest_module.ManifestBody.model_validate(
             {
@@ -156,8 +156,9 @@
 
 
 def test_errors_that_tornado_raises() -> None:
-    # A wrong path, a wrong method, a fault inside a handler: the same
-    # shape, and after a fault nobody is told that nothing ran.
+    # Errors for a wrong path, a wrong method and an exception in a
+    # handler have OpenAI's format. After an exception the outcome is
+    # `unknown`, because the request may have run.
     async def story(fleet: fleet_module.Fleet) -> None:
         status, _, body = await raw_caller.fetch(fleet, 'GET', '/nowhere')
         assert (status, body['error']['code']) == (404, 'not_found')
@@ -182,8 +183,8 @@
 
 
 def test_callers_that_leave_in_the_body() -> None:
-    # Callers go in the middle of their bodies, again and again. Nothing
-    # runs, and no task of the host waits for the rest for ever.
+    # Callers disconnect before their body is complete. Nothing runs, and
+    # no task of the host waits for the rest of the body.
     async def story(fleet: fleet_module.Fleet) -> None:
         before = len(asyncio.all_tasks())
         for _ in range(20):
--- a/tests/entry/test_gone_callers.py
+++ b/tests/entry/test_gone_callers.py
@@ -34,9 +34,9 @@
 @pytest.mark.parametrize('way', WAYS)
 @pytest.mark.parametrize('streamed', [True, False])
 def test_caller_goes_in_decode(way: str, streamed: bool) -> None:
-    # A clerk closes the window while the verdict is written. Nobody
-    # reads the rest, yet the run would hold its slot and KV memory to
-    # the last word. After the grace the run is ended at the runner.
+    # A caller disconnects during decode. Without a cancel the run would
+    # hold its slot and KV memory to the last token. The run is cancelled
+    # on the runner after the grace period.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, stream=streamed, **LONG)
         await _at(fleet, stage.Stage.DECODE)
@@ -52,9 +52,9 @@
 @pytest.mark.parametrize('way', WAYS)
 @pytest.mark.parametrize('streamed', [True, False])
 def test_caller_goes_in_transfer(way: str, streamed: bool) -> None:
-    # The caller goes while the KV cache is on its way. The cancel
-    # reaches the decode runner before the transfer ends; a runner that
-    # forgot the cancel would take the cache in and hold it for ever.
+    # The caller disconnects during the KV cache transfer. The cancel
+    # reaches the decode runner before the transfer ends. A runner that
+    # did not record the cancel would import the cache and never free it.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], slow_factor=300.0)
         caller = await raw_caller.ask(fleet, stream=streamed)
@@ -72,8 +72,8 @@
 @pytest.mark.parametrize('way', WAYS)
 @pytest.mark.parametrize('streamed', [True, False])
 def test_caller_goes_in_prefill(way: str, streamed: bool) -> None:
-    # The caller goes while the prompt is read. The prefill's result
-    # must be dropped when it comes, not held until it expires.
+    # The caller disconnects during prefill. The prefill result must be
+    # dropped when it is ready, and not held until it expires.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.prefills[0], slow_factor=200.0)
         caller = await raw_caller.ask(fleet, stream=streamed)
@@ -92,8 +92,8 @@
 @pytest.mark.parametrize('way', WAYS)
 @pytest.mark.parametrize('streamed', [True, False])
 def test_caller_goes_while_queued(way: str, streamed: bool) -> None:
-    # The only decode slot is taken and the second caller gives up its
-    # place in the queue. Its work must not start once the slot is free.
+    # The only decode slot is in use, and the queued second caller
+    # disconnects. Its request must not start when the slot is free.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, max_tokens=100)
         await first.read_events(1)
@@ -109,8 +109,9 @@
 
 
 def test_silent_caller() -> None:
-    # A caller's link goes dead: no FIN, no RST, it only stops reading.
-    # Its writes stall; past the limit the run is ended and its KV freed.
+    # A caller stops reading without FIN or RST, as on a dead link. Writes
+    # to it stall. After the stall limit the run is cancelled and its KV
+    # memory freed.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = raw_caller.RawCaller(fleet.port, receive_bytes=4096)
         await caller.send(
@@ -135,8 +136,8 @@
 
 
 def test_first_cancel_fails() -> None:
-    # The caller goes, and the cancel call to the runner breaks. Were it
-    # not repeated, the run would hold its slot until the last word.
+    # The caller disconnects, and the cancel calls to the runner fail.
+    # Without a retry the run would hold its slot until the last token.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, **LONG)
         await caller.read_events(2)
@@ -149,9 +150,9 @@
 
 
 def test_cancel_survives_the_shutdown() -> None:
-    # The caller goes just before the host is told to stop, and the
-    # first cancel calls fail. The host must not exit with the run
-    # still holding memory at the runner.
+    # The caller disconnects just before the host stops, and the first
+    # cancel calls fail. The host must not exit while the run holds memory
+    # on the runner.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, **LONG)
         await caller.read_events(2)
@@ -165,9 +166,9 @@
 
 
 def test_two_hundred_callers_go() -> None:
-    # Two hundred callers leave within a moment, some queued, some in
-    # prefill, some in decode, by FIN and by RST. Two seconds after the
-    # last has gone no runner holds a byte for any of them.
+    # Two hundred callers in all stages disconnect at about the same time,
+    # by FIN and by RST. Two seconds after the last of them no runner holds
+    # memory for any of them.
     async def story(fleet: fleet_module.Fleet) -> None:
         callers = [
             await raw_caller.ask(
@@ -187,16 +188,18 @@
 
 
 def test_nobody_can_come_back_for_it() -> None:
-    # A caller without a key goes before it was told the request's id.
-    # It cannot name the request, so there is no grace to wait out; with
-    # a key of its own it has the grace.
+    # A caller without a key disconnects before it received the request
+    # id. It cannot resume the request, so there is no grace period. A
+    # caller with a key has the grace period.
     async def story(fleet: fleet_module.Fleet) -> None:
         key = {'Idempotency-Key': 'k'}
-        nameless = await raw_caller.ask(fleet, stream=False, **LONG)
-        named = await raw_caller.ask(fleet, stream=False, headers=key, **LONG)
+        without_key = await raw_caller.ask(fleet, stream=False, **LONG)
+        with_key = await raw_caller.ask(
+            fleet, stream=False, headers=key, **LONG
+        )
         await fleet_module.until(lambda: fleet.count('words') > 3)
-        nameless.fin()
-        named.fin()
+        without_key.fin()
+        with_key.fin()
         await fleet_module.until(lambda: fleet.host.in_progress == 1)
         await asyncio.sleep(TRANSFER_S)
         assert fleet.host.in_progress == 1
@@ -209,11 +212,10 @@
 def test_caller_goes_while_its_key_is_looked_up(
     known: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The caller goes while the other hosts are asked for its key. The
-    # loss was told before there was a run or an attachment: a run
-    # started or attached to afterwards would have nobody to read it,
-    # and nobody to notice.
-    async def look_up(*args: object, **kwargs: object) -> bool:
+    # The caller disconnects while its key is looked up on the other
+    # hosts, before a run or an attachment exists. No run may be started
+    # or attached to afterwards, because no later event would end it.
+    async def slow_relay(*args: object, **kwargs: object) -> bool:
         await asyncio.sleep(0.1)
         return False
 
@@ -223,7 +225,7 @@
             first = await raw_caller.ask(fleet, headers=key, **LONG)
             await first.read_events(1)
         monkeypatch.setattr(
-            completions_handler.CompletionsHandler, 'relay', look_up
+            completions_handler.CompletionsHandler, 'relay', slow_relay
         )
         again = await raw_caller.ask(fleet, headers=key, **LONG)
         await fleet_module.until(
--- a/tests/entry/test_once_calls.py
+++ b/tests/entry/test_once_calls.py
@@ -1,4 +1,4 @@
-"""Calls that must run at most once, asked for at two hosts."""
+"""At-most-once calls that are sent to two hosts."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class SlowStore:
-    """A claim store of all hosts whose outcomes take time to be kept."""
+    """A claim store shared by all hosts that stores outcomes slowly."""
 
     def __init__(self, settle_s):
         self.settle_s = settle_s
@@ -46,7 +46,7 @@
 
 
 class Pool:
-    """A service that answers, and counts what it ran."""
+    """A pool whose runner answers each call and counts the runs."""
 
     def __init__(self):
         self.runs = 0
@@ -68,7 +68,11 @@
 
 
 def test_a_repeat_at_another_host_gets_the_answer_that_went_out():
-    """A repeat was told that the outcome was not known, though it was out."""
+    """Guards against an unknown outcome for a repeat.
+
+    The first caller has received the answer, so a repeat at another host
+    must find it in the control log.
+    """
 
     async def work():
         pool = Pool()
@@ -87,13 +91,13 @@
 
 
 def test_an_answer_does_not_wait_for_a_control_log_that_is_gone():
-    """A ready answer is delivered, whether it can be kept or not."""
+    """An answer is delivered although its outcome cannot be stored."""
 
     async def work():
         host = once_calls.OnceCalls(host_id='h', pool=Pool())
-        begun_s = asyncio.get_running_loop().time()
+        start_s = asyncio.get_running_loop().time()
         got = await call_at(host, SlowStore(settle_s=30.0))
-        took_s = asyncio.get_running_loop().time() - begun_s
+        took_s = asyncio.get_running_loop().time() - start_s
         assert isinstance(got, service_outcome.Answered)
         assert took_s < once_calls.MAX_STORE_WAIT_S + 0.5
 
--- a/tests/entry/test_openai_client.py
+++ b/tests/entry/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The official client library, unchanged, in a thread of its own."""
+"""Tests with the unmodified OpenAI client library in its own thread."""
 
 import asyncio
 import typing
@@ -47,8 +47,8 @@
 
 
 def test_chat_with_usage_and_keep_alives() -> None:
-    # Keep-alive comments come between the words. The library takes an
-    # empty line after a comment for an event, and the chat breaks.
+    # Keep-alive comments arrive between events. The library takes an
+    # empty line after a comment for an event, and then fails.
     def work(client: openai.OpenAI) -> None:
         messages: typing.Any = [
             {'role': 'user', 'content': [{'type': 'text', 'text': 'Rank'}]}
@@ -106,8 +106,8 @@
 
 
 def test_broken_answer_is_an_error() -> None:
-    # The engine fails for good in the middle of an answer. The library
-    # must raise, and never hand out half an answer as a whole one.
+    # The engine fails permanently in the middle of an answer. The library
+    # must raise, and not return the partial answer as complete.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.decodes[0], fail_decode_after=3)
 
@@ -133,9 +133,9 @@
 def test_a_retry_of_the_library_counts_as_a_return(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Every prefill runner refuses, the library is told when to come
-    # back, and by then the runners take work. The router must know
-    # that the second try returns, also where it never saw the first.
+    # Every prefill runner refuses, and the library retries after
+    # Retry-After, when the runners accept work. The router must recognize
+    # the retry, also on a host that did not receive the first attempt.
     offered: list[bool] = []
 
     async def story(fleet: fleet_module.Fleet) -> None:
--- a/tests/entry/test_requests.py
+++ b/tests/entry/test_requests.py
@@ -9,8 +9,8 @@
 
 
 def test_resume_gets_exactly_the_rest() -> None:
-    # A clerk's connection breaks after five words. By the same POST or
-    # by GET, with the last event's id, it gets the words it lacks.
+    # A caller's connection breaks after five words. With the last event's
+    # id, the same POST or a GET returns exactly the missing words.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, headers=KEY)
         first = await caller.read_events(5)
@@ -35,8 +35,8 @@
 
 
 def test_wrong_event_ids() -> None:
-    # A caller sends an id that names no event: it must be told, and
-    # never be given words from another place.
+    # An id that names no event of the request is an error, and must not
+    # resume the answer at another position.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, headers=KEY)
         events = await caller.read_events()
@@ -58,9 +58,9 @@
 
 
 def test_blind_repeat_fences_the_older_connection() -> None:
-    # A caller's library repeats the request while its first connection
-    # hangs. The repeat gets the whole answer of the one run; the first
-    # gets no further byte, so nobody reads two answers.
+    # A client library repeats the request while its first connection
+    # hangs. The repeat gets the whole answer of the same run, and the
+    # first connection gets no further byte, so no answer is read twice.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, headers=KEY, max_tokens=60)
         await first.read_events(3)
@@ -76,9 +76,9 @@
 
 
 def test_delivered_answer_is_not_given_twice() -> None:
-    # A repeat of a request whose answer was delivered is refused, so
-    # that one check gives one verdict; reading it again on purpose is
-    # allowed while it is retained.
+    # A repeat of a request whose answer was delivered is refused, so that
+    # the caller does not process the answer twice. It can be read again
+    # through its events while the record is retained.
     async def story(fleet: fleet_module.Fleet) -> None:
         for streamed in (True, False):
             headers = {'Idempotency-Key': f'key-{streamed}'}
@@ -101,8 +101,8 @@
 
 
 def test_interrupted_whole_answer() -> None:
-    # The connection of a whole answer breaks before the text is sent.
-    # The repeat by key gets the whole text of the same run.
+    # The connection breaks before a whole answer is sent. A repeat under
+    # the same key gets the whole text of the same run.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(
             fleet, stream=False, headers=KEY, max_tokens=20
@@ -120,9 +120,9 @@
 
 
 def test_same_key_other_body() -> None:
-    # A key is used for two questions by mistake. The second must not
-    # get the first one's answer. Order of keys and spaces do not make
-    # another body.
+    # A key is reused for a different request by mistake, which must not
+    # get the first request's answer. The order of JSON keys and white
+    # space do not make a body different.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, headers=KEY)
         await caller.read_events(2)
@@ -142,8 +142,8 @@
 
 
 def test_key_of_a_request_without_an_answer_starts_over() -> None:
-    # The caller went, its run was cancelled after the grace, and then
-    # it comes back with its key: it gets a whole answer of a new run.
+    # The caller disconnects and its run is cancelled after the grace
+    # period. A repeat under the key gets a whole answer of a new run.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, headers=KEY, max_tokens=200)
         events = await first.read_events(3)
@@ -164,8 +164,8 @@
 
 
 def test_status_and_cancel() -> None:
-    # A secretary cancels a note by its id. The stream ends with a
-    # tagged error at once and the runner holds nothing.
+    # A request is cancelled by its id. Its stream ends at once with an
+    # error event, and the runner frees the memory.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, max_tokens=4000)
         await caller.read_events(2)
@@ -184,8 +184,8 @@
 
 
 def test_records_are_dropped_after_their_time() -> None:
-    # Answers kept for a resume would fill the host's memory. They go
-    # after retain_s, and before that when too many bytes are kept.
+    # Answers retained for a resume would fill the host's memory. They are
+    # dropped after retain_s, or earlier if they hold too many bytes.
     async def story(fleet: fleet_module.Fleet) -> None:
         for _ in range(3):
             caller = await raw_caller.ask(fleet)
@@ -203,8 +203,8 @@
 
 
 def test_given_up_is_told_at_once() -> None:
-    # All runners refuse. The caller is told within a moment, and when
-    # to come back; the answer is not held until its deadline.
+    # All runners refuse. The caller gets an error with Retry-After at
+    # once, and not only at the deadline.
     async def story(fleet: fleet_module.Fleet) -> None:
         for engine in fleet.prefills:
             fleet.fault(engine, refuse=True)
@@ -220,8 +220,8 @@
 
 
 def test_keep_alive_while_waiting() -> None:
-    # The prompt takes long to read. Comments keep the connection alive
-    # and the client libraries skip them.
+    # The prefill takes long. Comments keep the connection alive, and
+    # client libraries ignore them.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.fault(fleet.prefills[0], slow_factor=2000.0)
         caller = await raw_caller.ask(fleet)
@@ -255,9 +255,9 @@
 
 
 def test_teams_by_token() -> None:
-    # Two member banks use the same key and one guesses the other's
-    # request id. Each sees its own requests alone; a token that the
-    # newest manifest no longer names opens nothing.
+    # Two teams use the same key, and one uses the other's request id.
+    # Each can access only its own requests. A token that the newest
+    # manifest does not contain is rejected.
     async def story(fleet: fleet_module.Fleet) -> None:
         fleet.host.manifest = _manifest(1, north='n-token', south='s-token')
         ids = []
@@ -293,8 +293,8 @@
 
 
 def test_team_header_is_believed_only_without_tokens() -> None:
-    # Without tokens the header names the team, unless the setting says
-    # that it is not to be believed.
+    # Without tokens the header names the team, unless the setting
+    # disables it.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(
             fleet, headers={'Limpetroute-Team': 'north'}
--- a/tests/entry/test_services.py
+++ b/tests/entry/test_services.py
@@ -37,13 +37,15 @@
     }
 )
 Services = list[service_server.ServiceServer]
-Story = typing.Callable[
+Scenario = typing.Callable[
     [fleet_module.Fleet, Services], typing.Coroutine[None, None, None]
 ]
 
 
-def _play(story: Story, *, count: int = 2, **settings: typing.Any) -> None:
-    async def whole(fleet: fleet_module.Fleet) -> None:
+def _run_scenario(
+    scenario: Scenario, *, count: int = 2, **settings: typing.Any
+) -> None:
+    async def with_services(fleet: fleet_module.Fleet) -> None:
         fleet.host.manifest = MANIFEST
         fleet.host.claims = memory_claim_store.MemoryClaimStore()
         services = [
@@ -67,12 +69,12 @@
             service.start()
         try:
             await fleet_module.until(lambda: len(fleet.host.runners) == count)
-            await story(fleet, services)
+            await scenario(fleet, services)
         finally:
             for service in services:
                 await service.stop()
 
-    fleet_module.play(whole, prefills=0, decodes=0, **settings)
+    fleet_module.play(with_services, prefills=0, decodes=0, **settings)
 
 
 def _fault(services: Services, **faults: typing.Any) -> None:
@@ -80,7 +82,7 @@
         service.state.faults = service_faults.ServiceFaults(**faults)
 
 
-def _runs(services: Services) -> int:
+def _run_count(services: Services) -> int:
     return sum(sum(service.state.runs.values()) for service in services)
 
 
@@ -93,9 +95,9 @@
 
 
 def test_lookup_is_retried_on_another_runner() -> None:
-    # A runner breaks the connection after it has run a look-up. A court
-    # still gets its answer, from another runner.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # A runner runs a look-up and then closes the connection without a
+    # reply. The caller still gets an answer, from another runner.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, drop_reply=1)
         _fault(services[:1])
         for _ in range(3):
@@ -106,26 +108,26 @@
             assert (body['path'], body['query']) == ('/status/G-1', 'full=1')
             assert headers['limpetroute-outcome'] == 'completed'
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_retries_have_a_budget() -> None:
-    # Every runner of the service fails at once. The calls must not
-    # triple its load while it tries to come back.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # All runners of the service fail. Retries must not triple the load
+    # on the service while it recovers.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, drop_reply=1000)
         for _ in range(60):
             await raw_caller.fetch(fleet, 'GET', LOOKUP)
-        assert 60 < _runs(services) <= 60 + 10 + 6
+        assert 60 < _run_count(services) <= 60 + 10 + 6
 
-    _play(story, count=3)
+    _run_scenario(scenario, count=3)
 
 
 def test_release_runs_once_and_its_answer_is_kept() -> None:
     # A release confirmation is sent twice under one key. It runs once,
-    # and the repeat gets the answer that was kept; the same key for
-    # another guarantee is refused.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # and the second call gets the stored answer. A call for another
+    # guarantee under the same key is refused.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         status, headers, first = await _release(fleet)
         assert (status, headers['limpetroute-outcome']) == (200, 'completed')
         status, headers, again = await _release(fleet)
@@ -134,43 +136,43 @@
         assert again == first
         status, _, body = await _release(fleet, guarantee='G-2')
         assert (status, body['error']['code']) == (422, 'key_reused')
-        assert _runs(services) == 1
+        assert _run_count(services) == 1
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_release_whose_answer_is_lost_is_never_sent_again() -> None:
-    # The runner dies after it released and before it answered. Nobody
-    # knows that it ran, so it must not run again: the caller is told
-    # `unknown`, and so is each repeat.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # The runner runs the release and closes the connection without a
+    # reply. The outcome is not known, so the release must not run again:
+    # the caller and each repeat get `unknown`.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, drop_reply=1)
         status, headers, _ = await _release(fleet)
         assert (status, headers['limpetroute-outcome']) == (502, 'unknown')
         status, headers, _ = await _release(fleet)
         assert (status, headers['limpetroute-outcome']) == (409, 'unknown')
         assert headers['x-should-retry'] == 'false'
-        assert _runs(services) == 1
+        assert _run_count(services) == 1
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_release_that_times_out() -> None:
-    # The runner takes longer than the service's limit. It may still
+    # The runner exceeds the service's time limit. The call may still
     # run, so the answer is 504 and `unknown`.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, delay_s=5.0)
         status, headers, _ = await _release(fleet)
         assert (status, headers['limpetroute-outcome']) == (504, 'unknown')
-        assert _runs(services) == 1
+        assert _run_count(services) == 1
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_release_that_a_runner_refused_goes_to_another() -> None:
-    # One runner refuses with its own word, one is dead: provably
-    # nothing ran there, so another may be asked.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # One runner refuses explicitly and one is stopped. The call provably
+    # did not run on either, so it is sent to another runner.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services[:1], refuse=True)
         await services[1].stop()
         for number in range(4):
@@ -182,35 +184,35 @@
                 {'Idempotency-Key': f'r-{number}'},
             )
             assert status == 200
-        assert _runs(services) == 4
+        assert _run_count(services) == 4
 
-    _play(story, count=3, runner_timeout_s=10.0)
+    _run_scenario(scenario, count=3, runner_timeout_s=10.0)
 
 
 def test_caller_of_a_release_goes() -> None:
-    # The caller goes while the release runs. It is not cancelled, and
-    # the answer waits for the repeat.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # The caller disconnects while the release runs. The release is not
+    # cancelled, and the repeat gets its answer.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, delay_s=0.3)
         caller = raw_caller.RawCaller(fleet.port)
         await caller.send('POST', RELEASE, BODY, KEY)
-        await fleet_module.until(lambda: _runs(services) == 1)
+        await fleet_module.until(lambda: _run_count(services) == 1)
         caller.rst()
         status, headers, body = await _release(fleet)
         assert (status, body['run']) == (200, 1)
         fleet.host.claims.fail_settles = 2
         status, headers, body = await _release(fleet)
         assert headers['limpetroute-outcome'] == 'already_delivered'
-        assert _runs(services) == 1
+        assert _run_count(services) == 1
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_no_quorum() -> None:
-    # The control log cannot be reached. Nothing is sent. With a key of
-    # the caller's own nobody can say that it never ran before, so the
-    # caller is told to repeat it and not that nothing ran.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # The control log is unreachable, so nothing is sent. A call under a
+    # key of the caller may have run before, so the answer is `unknown`
+    # with Retry-After and not `not_run`.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         await _release(fleet)
         fleet.host.claims.reachable = False
         status, headers, _ = await _release(fleet)
@@ -225,49 +227,50 @@
             fleet, 'POST', RELEASE, BODY
         )
         assert (status, headers['limpetroute-outcome']) == (503, 'not_run')
-        assert _runs(services) == 1
+        assert _run_count(services) == 1
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_no_runner_for_a_release() -> None:
-    # No runner takes the release. The caller is told that it was not
-    # run, truly, and the key stands for that from now on.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # All runners refuse the release. The caller gets `not_run`, and the
+    # refusal is stored under the key.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, refuse=True)
         for _ in range(2):
             status, headers, body = await _release(fleet)
             assert (status, body['error']['code']) == (503, 'key_spent')
             assert headers['limpetroute-outcome'] == 'not_run'
-        assert _runs(services) == 0
+        assert _run_count(services) == 0
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_rules_of_the_manifest() -> None:
-    # A search by POST may be repeated; a GET that draws a ticket may
-    # not. The manifest says so, against what HTTP says of the methods.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # The manifest allows retries of a POST that searches, and forbids
+    # retries of a GET that draws a ticket. Its rules override the HTTP
+    # semantics of the methods.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, drop_reply=1)
         status, _, _ = await raw_caller.fetch(
             fleet, 'POST', '/v1/services/registry/search', BODY
         )
         assert status == 502
-        assert _runs(services) == 2
+        assert _run_count(services) == 2
         _fault(services, drop_reply=1)
         status, headers, _ = await raw_caller.fetch(
             fleet, 'GET', '/v1/services/registry/ticket/new/today'
         )
         assert (status, headers['limpetroute-outcome']) == (502, 'unknown')
-        assert _runs(services) == 3
+        assert _run_count(services) == 3
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_wrong_services_and_paths() -> None:
-    # A path that a service may read as another one is refused: another
-    # rule may be meant for that one.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # A path that a service may normalize to another path is refused,
+    # because another rule may apply to that path.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         for path, status in (
             ('/v1/services/other/x', 404),
             ('/v1/services/registry/a//release', 400),
@@ -277,20 +280,21 @@
             got, headers, _ = await raw_caller.fetch(fleet, 'GET', path)
             assert got == status, path
             assert headers['limpetroute-outcome'] == 'not_run'
-        assert _runs(services) == 0
+        assert _run_count(services) == 0
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 def test_shutdown_waits_for_a_release() -> None:
-    # The host is stopped while a release runs. It ends, its answer is
-    # kept although the first settle fails, and a new one is refused.
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    # The host is stopped while a release runs. The release finishes, its
+    # answer is stored although the first attempt to store it fails, and
+    # new calls are refused.
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         _fault(services, delay_s=0.3)
         fleet.host.claims.fail_settles = 1
         caller = raw_caller.RawCaller(fleet.port)
         await caller.send('POST', RELEASE, BODY, KEY)
-        await fleet_module.until(lambda: _runs(services) == 1)
+        await fleet_module.until(lambda: _run_count(services) == 1)
         stopping = asyncio.create_task(fleet.entry.stop())
         await fleet_module.until(lambda: not fleet.host.ready)
         status, headers, _ = await raw_caller.fetch(
@@ -303,20 +307,20 @@
         await stopping
         claim = fleet.host.claims.claims['default', 'release-5']
         assert claim.status == 200
-        assert _runs(services) == 1
+        assert _run_count(services) == 1
 
-    _play(story)
+    _run_scenario(scenario)
 
 
 @pytest.mark.parametrize('seed', [5, 23])
 def test_releases_under_random_failures(seed: int) -> None:
-    # Runners refuse, break connections and the log loses its quorum at
-    # random, and callers repeat under their keys, each on a new
-    # connection that may break. No key runs twice, and none whose
-    # caller was told `not_run` has run.
+    # At random, runners refuse calls or drop replies, the control log
+    # loses its quorum, and callers disconnect. Callers repeat calls under
+    # the same keys on new connections. No key runs twice, and no call
+    # that was answered with `not_run` has run.
     rng = random.Random(seed)
 
-    async def one(fleet: fleet_module.Fleet, services: Services) -> None:
+    async def call_once(fleet: fleet_module.Fleet, services: Services) -> None:
         name = f'key-{rng.randrange(40)}'
         caller = raw_caller.RawCaller(fleet.port)
         await caller.send(
@@ -332,7 +336,7 @@
         for service in services:
             assert not service.state.runs[f'POST /release {name}']
 
-    async def story(fleet: fleet_module.Fleet, services: Services) -> None:
+    async def scenario(fleet: fleet_module.Fleet, services: Services) -> None:
         for _ in range(40):
             for service in services:
                 _fault(
@@ -343,7 +347,9 @@
                 )
             fleet.host.claims.reachable = rng.random() < 0.8
             fleet.host.claims.fail_settles = rng.randrange(2)
-            await asyncio.gather(*(one(fleet, services) for _ in range(8)))
+            await asyncio.gather(
+                *(call_once(fleet, services) for _ in range(8))
+            )
         total: dict[str, int] = {}
         for service in services:
             for name, count in service.state.runs.items():
@@ -351,7 +357,7 @@
         assert len(total) > 10
         assert set(total.values()) == {1}
 
-    _play(story, count=3)
+    _run_scenario(scenario, count=3)
 
 
 @pytest.mark.parametrize(
--- a/tests/entry/test_shutdown.py
+++ b/tests/entry/test_shutdown.py
@@ -8,9 +8,9 @@
 
 
 def test_shutdown_cuts_off_nobody() -> None:
-    # The platform stops the host while clerks read their verdicts and
-    # one waits for a whole answer. Each gets all of it; who comes
-    # meanwhile is told that nothing ran and when to come back.
+    # The host is stopped while callers read streams and a caller waits
+    # for a whole answer. Each gets its complete answer. A new request
+    # gets `not_run` with Retry-After.
     async def story(fleet: fleet_module.Fleet) -> None:
         callers = [
             await raw_caller.ask(fleet, max_tokens=100) for _ in range(3)
@@ -41,8 +41,9 @@
 
 
 def test_resume_while_draining() -> None:
-    # A clerk's connection breaks while the host drains. It comes back
-    # within the grace and gets the rest from the same host.
+    # A caller's connection breaks while the host drains. The caller
+    # resumes within the grace period and gets the rest of the answer
+    # from the same host.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, max_tokens=200)
         events = await caller.read_events(3)
@@ -59,9 +60,9 @@
 
 
 def test_drain_time_lapses() -> None:
-    # An answer takes longer than the drain may. Its stream ends with a
-    # tagged event that says to resume elsewhere, and the runner is
-    # freed; the host does not wait for ever.
+    # An answer takes longer than the drain timeout. Its stream ends with
+    # an error event that tells the caller to resume on another host, the
+    # runner is freed, and the host stops.
     async def story(fleet: fleet_module.Fleet) -> None:
         caller = await raw_caller.ask(fleet, max_tokens=4000)
         await caller.read_events(2)
@@ -78,8 +79,8 @@
 
 
 def test_leaving_runner_gets_no_new_work() -> None:
-    # A decode runner says that it leaves. What runs there ends there;
-    # nothing new is sent to it from the moment its word is here.
+    # A decode runner announces that it leaves. Its runs finish there, and
+    # no new run is sent to it after the announcement.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, max_tokens=100)
         await first.read_events(2)
@@ -96,9 +97,8 @@
 
 
 def test_runner_goes_silent_in_prefill() -> None:
-    # A prefill runner hangs with the connection open and announces no
-    # more. The time limit of the call ends the wait, and another runner
-    # reads the prompt.
+    # A prefill runner hangs with the connection open. The call's time
+    # limit ends the wait, and another runner prefills the prompt.
     async def story(fleet: fleet_module.Fleet) -> None:
         for engine in fleet.prefills[:2]:
             fleet.fault(engine, mute_prefill=True)
@@ -110,8 +110,8 @@
 
 
 def test_queued_callers_are_told_when_the_drain_lapses() -> None:
-    # A request still queued when the drain lapses was not run, and its
-    # caller is told so: it can be sent again at once.
+    # A request that is still queued when the drain timeout expires was
+    # not run. Its caller gets `not_run` and can send it again.
     async def story(fleet: fleet_module.Fleet) -> None:
         first = await raw_caller.ask(fleet, max_tokens=4000)
         await first.read_events(1)
@@ -135,8 +135,8 @@
 
 
 def test_process_exits_with_zero_after_its_streams(tmp_path) -> None:
-    # SIGTERM reaches the process in the middle of an answer. The caller
-    # gets all of it, and the process exits with 0.
+    # The process receives SIGTERM in the middle of an answer. The caller
+    # gets the complete answer, and the process exits with 0.
     entry = processes.Process(
         'entry',
         {'host_id': 'e1', 'zone': 'evere', 'zones': ['evere']},
@@ -173,7 +173,7 @@
     try:
         events = asyncio.run(story())
     finally:
-        # The entry process has its signal; a second one is not sent.
+        # The entry process got SIGTERM above; stop(0) sends no second one.
         codes = [entry.stop(0)]
         codes += [process.stop() for process in started[1:]]
     assert events[-1][1] == '[DONE]'
--- a/tests/entry/test_slow_readers.py
+++ b/tests/entry/test_slow_readers.py
@@ -9,7 +9,7 @@
 
 
 def _held_bytes(fleet: fleet_module.Fleet) -> int:
-    """Return the most that one connection holds in the process."""
+    """Return the largest write buffer of all connections."""
     sizes = [0]
     for handler in fleet.host.exchanges:
         stream = handler.request.connection.stream
@@ -18,9 +18,9 @@
 
 
 def test_slow_reader_is_bounded_and_slows_nobody() -> None:
-    # A caller on a bad line reads nothing for a while. Its words wait
-    # in the record, the connection holds no more than the bound, others
-    # get their answers meanwhile, and then it reads all of its own.
+    # A caller does not read for a while. Its events stay in the record,
+    # its connection buffers no more than the limit, other callers get
+    # their answers, and the slow caller then reads its whole answer.
     async def story(fleet: fleet_module.Fleet) -> None:
         body = {
             'model': fleet_module.MODEL,
@@ -43,8 +43,8 @@
         await fleet_module.until(
             lambda: fleet.count('words') >= WORDS, limit_s=20
         )
-        # It reads a little: what waits in the record is now far more
-        # than the bound.
+        # The slow caller reads a little. The events that wait in the
+        # record are now much larger than the limit.
         for _ in range(10):
             assert await slow._more()
             await asyncio.sleep(0.01)
