--- a/limpetroute/entry/callers/answer_handler.py
+++ b/limpetroute/entry/callers/answer_handler.py
@@ -39,7 +39,7 @@
             Index of the last event that the caller has; None starts
             with the first event.
         """
-        if self._gone:
+        if self._caller_gone:
             # The connection closed before the attachment existed, so
             # `on_connection_close` could not detach it. An attachment
             # made now would keep the run alive without a caller.
--- a/limpetroute/entry/callers/base_handler.py
+++ b/limpetroute/entry/callers/base_handler.py
@@ -30,7 +30,7 @@
 
     host: host_module.Host
     _team: str | None = None
-    _gone = False
+    _caller_gone = False
 
     def initialize(self, host: host_module.Host) -> None:
         """Keep the state that all handlers share."""
@@ -156,7 +156,11 @@
             return False
         url = peers.url_of(found) if found is not None else None
         if url is not None and await peers.relay.relay(
-            self, url, team=self.team, body=body, gone=lambda: self._gone
+            self,
+            url,
+            team=self.team,
+            body=body,
+            caller_is_gone=lambda: self._caller_gone,
         ):
             return True
         self.fail(
@@ -175,7 +179,7 @@
 
     def on_connection_close(self) -> None:
         """Note that the caller has disconnected."""
-        self._gone = True
+        self._caller_gone = True
         self.host.exchanges.discard(self)
         # The superclass ends the wait for the rest of the body.
         super().on_connection_close()
--- a/limpetroute/entry/callers/completions_handler.py
+++ b/limpetroute/entry/callers/completions_handler.py
@@ -92,7 +92,7 @@
         if await self.relay(key=key, body=self.body):
             return None
         try:
-            if self._gone:
+            if self._caller_gone:
                 return None
             return self._find_or_start_here(body, digest, key)
         finally:
--- a/limpetroute/entry/callers/service_handler.py
+++ b/limpetroute/entry/callers/service_handler.py
@@ -57,7 +57,7 @@
         if not self.body_is_whole() or not self.authenticate():
             return
         service_path = '/' + path
-        if not call_rules.is_plain(service_path):
+        if not call_rules.is_unambiguous(service_path):
             self.fail(
                 400,
                 f'path: {service_path[:80]!r} is ambiguous',
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -129,7 +129,7 @@
         )
 
     def drop_copy(self, request_id: str) -> None:
-        """Tell the successor to drop its copy of a record."""
+        """Schedule the removal of the successor's copy of a record."""
         self.sender.forget(request_id)
 
     async def ensure_copied(self, live: live_record.LiveRecord) -> None:
@@ -204,7 +204,7 @@
         self._fence = fence
 
     def _start_epoch(self) -> None:
-        """Continue under a new owner name, and leave the old one behind.
+        """Continue under a new owner name; the old one's lease expires.
 
         A host that was frozen may resume before other hosts consider it
         dead, and would regain the lease under the old name. It has
@@ -221,7 +221,7 @@
         self._new_epoch(self._epoch)
 
     def choose_successor(self, view: member_view.MemberView) -> None:
-        """Choose a new successor if the current one does not work."""
+        """Choose a new successor if the current host does not work."""
         working = {
             item.host_id: item.zone
             for item in view.working
--- a/limpetroute/entry/peering/peer_grants.py
+++ b/limpetroute/entry/peering/peer_grants.py
@@ -70,13 +70,13 @@
         self, *, runner_id: str, work_id: str, kv_bytes: int
     ) -> grants.Granted | grants.Denied:
         """Request a slot and KV memory."""
-        asked = grant.Grant(
+        requested = grant.Grant(
             work_id=work_id,
             run_id=work_id,
             asker_id=self._host_id,
             kv_bytes=kv_bytes,
         )
-        got = await self._request_grant(runner_id, asked, again=False)
+        got = await self._request_grant(runner_id, requested, again=False)
         if isinstance(got, grant.GrantGiven):
             return grants.Granted(fence=got.fence)
         if isinstance(got, grant.GrantDenied):
@@ -127,14 +127,14 @@
             self.release(runner_id=line.runner_id, work_id=work_id)
 
     async def _request_grant(
-        self, runner_id: str, asked: grant.Grant, *, again: bool
+        self, runner_id: str, requested: grant.Grant, *, again: bool
     ) -> grant.GrantAnswer:
         requested_s = peer_clock.clock_s()
         holder_id = self._coordinator.holder_of(runner_id, requested_s)
         got: grant.GrantAnswer = grant.NotHolder()
         for _ in range(MAX_HOPS):
             got = await self._request_grant_from(
-                holder_id, runner_id, asked, again
+                holder_id, runner_id, requested, again
             )
             if not isinstance(got, grant.NotHolder):
                 break
@@ -145,7 +145,7 @@
             self.ledger.add(
                 runner_id=runner_id,
                 holder_id=holder_id,
-                asked=asked,
+                asked=requested,
                 given=got,
                 asked_s=requested_s,
             )
@@ -155,18 +155,18 @@
         self,
         holder_id: str,
         runner_id: str,
-        asked: grant.Grant,
+        requested: grant.Grant,
         again: bool,
     ) -> grant.GrantAnswer:
         if holder_id == self._host_id:
             return self._coordinator.acquire(
-                runner_id, asked, peer_clock.clock_s(), again=again
+                runner_id, requested, peer_clock.clock_s(), again=again
             )
         url = self._url_of(holder_id)
         if url is None:
             return grant.NotHolder()
         call = peer_codec.GrantCall(
-            runner_id=runner_id, asked=asked, again=again
+            runner_id=runner_id, asked=requested, again=again
         )
         reply = await self._calls.post_and_decode(
             url,
--- a/limpetroute/entry/peering/peer_relay.py
+++ b/limpetroute/entry/peering/peer_relay.py
@@ -53,7 +53,7 @@
         *,
         team: str,
         body: bytes,
-        gone: typing.Callable[[], bool],
+        caller_is_gone: typing.Callable[[], bool],
     ) -> bool:
         """Relay a request; return False if the holder sent no answer."""
         request = handler.request
@@ -79,7 +79,7 @@
             async for chunk in link.chunks(
                 idle_timeout_s=self._idle_timeout_s
             ):
-                if gone():
+                if caller_is_gone():
                     return True
                 handler.write(chunk)
                 await handler.flush()
--- a/limpetroute/entry/services/call_rules.py
+++ b/limpetroute/entry/services/call_rules.py
@@ -60,8 +60,8 @@
     )
 
 
-def is_plain(path: str) -> bool:
-    """Whether a decoded path is free of segments that servers normalize.
+def is_unambiguous(path: str) -> bool:
+    """Whether a path has no NUL and no segments that servers normalize.
 
     A service may treat ``/a//release`` or ``/a/../release`` as
     ``/release``, so the rule that matched the path as sent would not be
