--- a/limpetroute/entry/peering/peer_reaper.py
+++ b/limpetroute/entry/peering/peer_reaper.py
@@ -19,7 +19,7 @@
 
 
 class PeerReaper:
-    """Asks every host which runs it claims, and ends unclaimed runs.
+    """Asks every host for the runs it claims, and ends unclaimed runs.
 
     Parameters
     ----------
--- a/tests/entry/silent_proxy.py
+++ b/tests/entry/silent_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy before a runner that can stop to forward data."""
+"""A proxy in front of a runner that can stop forwarding data."""
 
 import asyncio
 
