--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -34,7 +34,7 @@
 from limpetroute.entry.runs import run_task
 from limpetroute.entry.runs import scheduler as scheduler_module
 from limpetroute.entry.services import control_claims
-from limpetroute.entry.services import service_desk
+from limpetroute.entry.services import service_dispatcher
 from limpetroute.peers import copy_holder
 from limpetroute.peers import request_record
 from limpetroute.peers import run_end
@@ -83,7 +83,7 @@
             settings, self.http
         )
         self.drained_runners: set[str] = set()
-        self.services = service_desk.ServiceDesk(
+        self.services = service_dispatcher.ServiceDispatcher(
             host=self,
             host_id=settings.host_id,
             pool=service_pool.ServicePool(
@@ -177,13 +177,13 @@
             http=self.http,
             engines=self.engines,
             records=self.records,
-            adopt=self._take_over,
-            abandon=self._abandon,
+            take_over_record=self._take_over,
+            abandon_records=self._abandon,
         )
         self.grants = self.peers.grants
-        self.records.on_discard = self.peers.copies.forget
+        self.records.on_discard = self.peers.copies.drop_copy
         if self.manifest is not None:
-            self.peers.manifest_in_force(self.manifest.number)
+            self.peers.publish_manifest_number(self.manifest.number)
         self.peers.start()
 
     def start(self) -> None:
@@ -298,7 +298,7 @@
         self.records.add(live)
         self._open.add(live)
         if self.peers is not None:
-            self.peers.copies.own(live, request)
+            self.peers.copies.add_record(live, request)
         task = self._run_task(request, live, 0)
         live.task = asyncio.create_task(task.run())
         return live
@@ -327,7 +327,7 @@
             meters=self.meters,
             hops=self.hops,
             settings=self.settings,
-            copy=None if peers is None else peers.copies.ensure,
+            copy=None if peers is None else peers.copies.ensure_copied,
         )
 
     def _take_over(self, copied: copy_holder.CopiedRecord) -> None:
@@ -347,7 +347,7 @@
         )
         live.arrived_s = asyncio.get_running_loop().time()
         self.records.add(live)
-        self.peers.copies.own(live, request)
+        self.peers.copies.add_record(live, request)
         if record.end is not None:
             self.records.note_ended(live, time.monotonic())
             return
@@ -387,10 +387,14 @@
     def _set_manifest(self, body: manifest_module.ManifestBody) -> None:
         self.manifest = body
         if self.peers is not None:
-            self.peers.manifest_in_force(body.number)
+            self.peers.publish_manifest_number(body.number)
 
     def _hosts_with_newer(self, number: int) -> list[str]:
-        return [] if self.peers is None else self.peers.ahead_of(number)
+        return (
+            []
+            if self.peers is None
+            else self.peers.urls_with_newer_manifest(number)
+        )
 
     def _work(
         self, request: run_request.RunRequest, now_s: float
@@ -432,7 +436,7 @@
                 LOG.info('runner %s went silent', runner_id)
                 self.scheduler.runner_gone(runner_id)
                 if self.peers is not None:
-                    self.peers.desk.runner_gone(runner_id)
+                    self.peers.grant_coordinator.runner_gone(runner_id)
 
 
 def new_request_id() -> str:
--- a/limpetroute/entry/peering/peer_reaper.py
+++ b/limpetroute/entry/peering/peer_reaper.py
@@ -1,4 +1,4 @@
-"""Ends runs that no entry host claims, at runners held by lease."""
+"""Ends runs that no entry host claims, on runners leased by this host."""
 
 import asyncio
 import logging
@@ -19,12 +19,12 @@
 
 
 class PeerReaper:
-    """Asks every host for its claims, and ends what has none.
+    """Asks every host for the runs it claims, and ends unclaimed runs.
 
     Parameters
     ----------
-    desk : GrantDesk
-        Knows the runners and who holds them.
+    coordinator : GrantDesk
+        Provides the runners' reports and lease holders.
     calls : PeerCalls
         Calls to other hosts.
     engines : EnginePool
@@ -40,7 +40,7 @@
     __slots__ = (
         '_calls',
         '_copies',
-        '_desk',
+        '_coordinator',
         '_engines',
         '_own_runs',
         '_reaper',
@@ -50,14 +50,14 @@
     def __init__(
         self,
         *,
-        desk: grant_desk.GrantDesk,
+        coordinator: grant_desk.GrantDesk,
         calls: peer_calls.PeerCalls,
         engines: engine_pool.EnginePool,
         own_runs: typing.Callable[[], set[str]],
         copies: copy_holder.CopyHolder,
         grace_s: float,
     ) -> None:
-        self._desk = desk
+        self._coordinator = coordinator
         self._calls = calls
         self._engines = engines
         self._own_runs = own_runs
@@ -71,19 +71,19 @@
     def claims(self, runs: typing.Iterable[str]) -> tuple[str, ...]:
         """Return which of the runs this host claims.
 
-        A copy claims too: its owner may be gone, and the run is about
-        to be resumed here.
+        Runs of copied records count as claimed: the owner may be gone
+        and this host may be about to resume the run.
         """
         claimed = self._own_runs() | self._copies.open_runs()
         return tuple(run_id for run_id in runs if run_id in claimed)
 
     async def check(self, view: member_view.MemberView) -> None:
-        """Look at every runner that this host holds the lease of."""
+        """End unclaimed runs on the runners that this host leases."""
         now_s = peer_clock.clock_s()
         reports = [
             report
-            for report in self._desk.reports()
-            if report.runs and self._desk.holds(report.runner_id, now_s)
+            for report in self._coordinator.reports()
+            if report.runs and self._coordinator.holds(report.runner_id, now_s)
         ]
         runs = sorted({run for report in reports for run in report.runs})
         if not runs:
@@ -99,7 +99,7 @@
                 unsure=unsure,
                 now_s=now_s,
             )
-            if self._desk.holds(report.runner_id, now_s):
+            if self._coordinator.holds(report.runner_id, now_s):
                 await self._end(report.runner_id, due)
 
     async def _ask_all(
@@ -108,16 +108,16 @@
         body = peer_codec.CLAIMS_CALL.encode(
             peer_codec.ClaimsCall(runs=tuple(runs))
         )
-        me = view.claims[0].host_id
-        gone = set(view.gone)
-        asks = [
-            self._calls.ask(
+        own_id = view.claims[0].host_id
+        gone_ids = set(view.gone)
+        calls = [
+            self._calls.post_and_decode(
                 item.url, 'claims', body, peer_codec.CLAIMS_REPLY.decode
             )
             for item in view.claims
-            if item.host_id != me and item.host_id not in gone
+            if item.host_id != own_id and item.host_id not in gone_ids
         ]
-        replies = await asyncio.gather(*asks)
+        replies = await asyncio.gather(*calls)
         claimed = set(self.claims(runs))
         for reply in replies:
             if reply is not None:
@@ -129,6 +129,8 @@
         if engine is None:
             return
         for run_id in runs:
-            LOG.warning('ending %s at %s: nobody claims it', run_id, runner_id)
+            LOG.warning(
+                'ending run %s on %s: no host claims it', run_id, runner_id
+            )
             if await engine.cancel(run_id, timeout_s=CANCEL_TIMEOUT_S):
                 self.reaped += 1
