--- a/limpetroute/bench/peer_costs.py
+++ b/limpetroute/bench/peer_costs.py
@@ -14,7 +14,7 @@
 import time
 
 from limpetroute.peers import grant_config
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import lease_codec
 from limpetroute.peers import lease_config
 from limpetroute.peers import lease_message
@@ -94,7 +94,7 @@
         }
         leases = lease_config.LeaseConfig(duration_s=lease_s, renew_s=renew_s)
         self._desks = {
-            name: grant_desk.GrantDesk(
+            name: grant_coordinator.GrantCoordinator(
                 host_id=name,
                 zone=f'zone-{place % 24}',
                 voters=self._voters,
--- a/limpetroute/entry/peering/peer_grants.py
+++ b/limpetroute/entry/peering/peer_grants.py
@@ -9,7 +9,7 @@
 from limpetroute.entry.peering import peer_codec
 from limpetroute.peers import grant
 from limpetroute.peers import grant_config
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import grant_ledger
 
 MAX_HOPS = 2
@@ -22,7 +22,7 @@
     ----------
     host_id : str
         This host.
-    desk : GrantDesk
+    desk : GrantCoordinator
         This host's part in granting.
     calls : PeerCalls
         Calls to other hosts.
@@ -47,7 +47,7 @@
         self,
         *,
         host_id: str,
-        desk: grant_desk.GrantDesk,
+        desk: grant_coordinator.GrantCoordinator,
         calls: peer_calls.PeerCalls,
         url_of: typing.Callable[[str], str | None],
         config: grant_config.GrantConfig,
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -20,7 +20,7 @@
 from limpetroute.entry.records import record_store
 from limpetroute.peers import copy_holder
 from limpetroute.peers import grant_config
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import hand_over
 from limpetroute.peers import lease_codec
 from limpetroute.peers import lease_config
@@ -99,7 +99,7 @@
             rng=random.Random(f'{host_id}@{self._started_ms}'),
         )
         grants = _grant_config(settings)
-        self.desk = grant_desk.GrantDesk(
+        self.desk = grant_coordinator.GrantCoordinator(
             host_id=host_id,
             zone=settings.zone,
             voters=peers.voters,
@@ -334,7 +334,9 @@
         if got:
             self._take_member(got)
 
-    def _send_desk(self, item: grant_desk.DeskSend, now_s: float) -> None:
+    def _send_desk(
+        self, item: grant_coordinator.GrantMessage, now_s: float
+    ) -> None:
         message = item.message
         if isinstance(message, hand_over.HandOver):
             self._spawn(self._send_hand_over(item.host_id, message))
--- a/limpetroute/entry/peering/peer_reaper.py
+++ b/limpetroute/entry/peering/peer_reaper.py
@@ -8,7 +8,7 @@
 from limpetroute.entry.peering import peer_clock
 from limpetroute.entry.peering import peer_codec
 from limpetroute.peers import copy_holder
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import member_view
 from limpetroute.peers import reaper
 from limpetroute.runners import engine_pool
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    desk : GrantDesk
+    desk : GrantCoordinator
         Knows the runners and who holds them.
     calls : PeerCalls
         Calls to other hosts.
@@ -50,7 +50,7 @@
     def __init__(
         self,
         *,
-        desk: grant_desk.GrantDesk,
+        desk: grant_coordinator.GrantCoordinator,
         calls: peer_calls.PeerCalls,
         engines: engine_pool.EnginePool,
         own_runs: typing.Callable[[], set[str]],
--- a/limpetroute/peers/grant_desk.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -22,13 +22,13 @@
 from limpetroute.peers import rendezvous
 from limpetroute.peers import runner_report
 
-__all__ = ['DeskSend', 'GrantDesk']
+__all__ = ['GrantMessage', 'GrantCoordinator']
 
 RUNNER = 'runner:'
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class DeskSend:
+class GrantMessage:
     """A message for another host, or for this one's own voter."""
 
     host_id: str
@@ -42,7 +42,7 @@
     sent: bool = False
 
 
-class GrantDesk:
+class GrantCoordinator:
     """Holds leases of runners and grants their room.
 
     Parameters
@@ -163,7 +163,7 @@
         """Whether this host may act for a runner now."""
         return self._holder.held(RUNNER + runner_id, now_s) is not None
 
-    def tick(self, now_s: float, *, fence_floor: int) -> list[DeskSend]:
+    def tick(self, now_s: float, *, fence_floor: int) -> list[GrantMessage]:
         """Do what is due; call it a few times in a second.
 
         Parameters
@@ -173,14 +173,14 @@
         fence_floor : int
             Lowest fencing number for a new lease.
         """
-        out: list[DeskSend] = []
+        out: list[GrantMessage] = []
         for runner_id in list(self._reports):
             self._choose(runner_id, fence_floor)
         self._open_books(now_s)
         for runner_id in list(self._books):
             out += self._move(runner_id, now_s)
         for voter_id, ask in self._holder.tick(now_s):
-            out.append(DeskSend(host_id=voter_id, message=ask))
+            out.append(GrantMessage(host_id=voter_id, message=ask))
         return out
 
     def on_vote(self, vote: lease_message.LeaseVote, now_s: float) -> None:
@@ -300,7 +300,7 @@
 
     # -- hand-over
 
-    def _move(self, runner_id: str, now_s: float) -> list[DeskSend]:
+    def _move(self, runner_id: str, now_s: float) -> list[GrantMessage]:
         target_id = self._target(runner_id)
         move = self._moves.get(runner_id)
         book = self._books[runner_id]
@@ -329,7 +329,7 @@
             fence=book.fence,
             grants=book.grants,
         )
-        return [DeskSend(host_id=target_id, message=message)]
+        return [GrantMessage(host_id=target_id, message=message)]
 
     def _target(self, runner_id: str) -> str | None:
         placed = self._placed(runner_id)
--- a/tests/peers/grant_world.py
+++ b/tests/peers/grant_world.py
@@ -4,7 +4,7 @@
 
 from limpetroute.peers import grant
 from limpetroute.peers import grant_config
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import grant_ledger
 from limpetroute.peers import hand_over
 from limpetroute.peers import lease_config
@@ -54,7 +54,7 @@
 
     def restart(self, name):
         self.starts += 1000
-        desk = grant_desk.GrantDesk(
+        desk = grant_coordinator.GrantCoordinator(
             host_id=name,
             zone='z',
             voters=tuple(RATES),
