--- a/limpetroute/bench/peer_costs.py
+++ b/limpetroute/bench/peer_costs.py
@@ -162,12 +162,12 @@
             self._post(name, target, member_codec.encode(send.message))
         desk = self._desks[name]
         for item in desk.tick(self._now_s, fence_floor=1):
-            if not isinstance(item.message, lease_message.LeaseAsk):
+            if not isinstance(item.message, lease_message.LeaseRequest):
                 continue
             self._vote(name, item.host_id, item.message)
 
     def _vote(
-        self, name: str, voter: str, ask: lease_message.LeaseAsk
+        self, name: str, voter: str, ask: lease_message.LeaseRequest
     ) -> None:
         if voter == name:
             vote = self._desks[voter].voter.vote(ask, self._now_s)
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -348,7 +348,7 @@
         self._spawn(self._send_ask(item.host_id, message))
 
     async def _send_ask(
-        self, host_id: str, message: lease_message.LeaseAsk
+        self, host_id: str, message: lease_message.LeaseRequest
     ) -> None:
         url = self.url_of(host_id)
         if url is None:
--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -32,7 +32,7 @@
     """A message for another host, or for this one's own voter."""
 
     host_id: str
-    message: lease_message.LeaseAsk | hand_over.HandOver
+    message: lease_message.LeaseRequest | hand_over.HandOver
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
--- a/limpetroute/peers/lease_codec.py
+++ b/limpetroute/peers/lease_codec.py
@@ -10,7 +10,7 @@
 _T = typing.TypeVar('_T')
 
 
-def encode_ask(ask: lease_message.LeaseAsk) -> bytes:
+def encode_ask(ask: lease_message.LeaseRequest) -> bytes:
     """Encode an ask as lists, in the order of the fields."""
     wants = [[item.resource, item.fence, item.heir] for item in ask.wants]
     releases = [
@@ -19,7 +19,7 @@
     return _dump([ask.number, ask.holder_id, wants, releases])
 
 
-def decode_ask(data: bytes) -> lease_message.LeaseAsk:
+def decode_ask(data: bytes) -> lease_message.LeaseRequest:
     """Decode an ask.
 
     Raises
@@ -57,9 +57,9 @@
     return _load(data, _vote)
 
 
-def _ask(body: typing.Any) -> lease_message.LeaseAsk:
+def _ask(body: typing.Any) -> lease_message.LeaseRequest:
     number, holder_id, wants, releases = body
-    return lease_message.LeaseAsk(
+    return lease_message.LeaseRequest(
         number=int(number),
         holder_id=str(holder_id),
         wants=tuple(
--- a/limpetroute/peers/lease_holder.py
+++ b/limpetroute/peers/lease_holder.py
@@ -98,7 +98,7 @@
         self._config = config
         self._wanted: dict[str, _Wanted] = {}
         self._releases: list[lease_message.LeaseRelease] = []
-        self._asks: dict[int, lease_message.LeaseAsk] = {}
+        self._asks: dict[int, lease_message.LeaseRequest] = {}
         self._asked_s: dict[int, float] = {}
         self._number = 0
         self._last_fences: dict[str, int] = {}
@@ -203,7 +203,9 @@
                 return holder_id
         return None
 
-    def tick(self, now_s: float) -> list[tuple[str, lease_message.LeaseAsk]]:
+    def tick(
+        self, now_s: float
+    ) -> list[tuple[str, lease_message.LeaseRequest]]:
         """Return the asks that are due, each with its voter."""
         self._drop_lapsed(now_s)
         if now_s < self._next_ask_s:
@@ -218,7 +220,7 @@
             )
             for name, item in self._wanted.items()
         ]
-        ask = lease_message.LeaseAsk(
+        ask = lease_message.LeaseRequest(
             number=self._number,
             holder_id=self._id,
             wants=tuple(wants),
@@ -242,7 +244,7 @@
             self._take(vote.voter_id, answer, asked_s, now_s)
 
     def _note_heirs(
-        self, vote: lease_message.LeaseVote, ask: lease_message.LeaseAsk
+        self, vote: lease_message.LeaseVote, ask: lease_message.LeaseRequest
     ) -> None:
         granted = {item.resource for item in vote.answers if item.granted}
         for item in ask.wants:
--- a/limpetroute/peers/lease_message.py
+++ b/limpetroute/peers/lease_message.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class LeaseAsk:
+class LeaseRequest:
     """A batch of requests, renewals and releases of one host.
 
     Parameters
--- a/limpetroute/peers/lease_voter.py
+++ b/limpetroute/peers/lease_voter.py
@@ -67,7 +67,7 @@
         return promise.holder_id
 
     def vote(
-        self, ask: lease_message.LeaseAsk, now_s: float
+        self, ask: lease_message.LeaseRequest, now_s: float
     ) -> lease_message.LeaseVote:
         """Answer an ask."""
         for item in ask.releases:
--- a/tests/peers/test_small_parts.py
+++ b/tests/peers/test_small_parts.py
@@ -131,7 +131,7 @@
 
 
 def test_lease_codec_keeps_every_field():
-    ask = lease_message.LeaseAsk(
+    ask = lease_message.LeaseRequest(
         number=3,
         holder_id='a',
         wants=(lease_message.LeaseWant(resource='r', fence=4, heir='4.0:b'),),
