--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -361,6 +361,6 @@
         self._moves.pop(runner_id, None)
         book = self._books.pop(runner_id, None)
         if book is not None and book.grants:
-            self._holder.forsake(RUNNER + runner_id)
+            self._holder.relinquish(RUNNER + runner_id)
             return
         self._holder.unwant(RUNNER + runner_id)
--- a/limpetroute/peers/lease_holder.py
+++ b/limpetroute/peers/lease_holder.py
@@ -148,7 +148,7 @@
         wanted = self._wanted.get(resource)
         if wanted is None:
             return
-        self.forsake(resource)
+        self.relinquish(resource)
         self._releases.append(
             lease_message.LeaseRelease(
                 resource=resource, fence=wanted.fence, heir_id=heir_id
@@ -156,7 +156,7 @@
         )
         self._next_ask_s = 0.0
 
-    def forsake(self, resource: str) -> None:
+    def relinquish(self, resource: str) -> None:
         """Stop using a resource and let its lease lapse."""
         wanted = self._wanted.pop(resource, None)
         if wanted is not None:
