--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -343,7 +343,7 @@
         """Let go of all records; another host may have them by now."""
         assert self.peers is not None
         for live in self.records:
-            self.peers.copies.sender.let_go(live.record.request_id)
+            self.peers.copies.sender.release(live.record.request_id)
             self.records.discard(live)
             live.handed_over = True
             live.cancel(run_task.TAKEN_OVER)
@@ -359,7 +359,7 @@
         if not self.hands_over:
             return
         for live in self._open:
-            copies.sender.let_go(live.record.request_id)
+            copies.sender.release(live.record.request_id)
 
     def _in_force(self, body: manifest_module.ManifestBody) -> None:
         self.manifest = body
--- a/limpetroute/peers/copy_sender.py
+++ b/limpetroute/peers/copy_sender.py
@@ -80,7 +80,7 @@
         if known is not None:
             self._dropped.append(request_id)
 
-    def let_go(self, request_id: str) -> None:
+    def release(self, request_id: str) -> None:
         """Send nothing more of a record that the heir goes on with."""
         self._records.pop(request_id, None)
         self._quiet.pop(request_id, None)
