--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -203,7 +203,7 @@
         would then be neither its own, for it dropped them, nor the
         heir's, for their owner would be alive.
         """
-        self._leases.forsake(HOST + self._owner)
+        self._leases.relinquish(HOST + self._owner)
         self._epoch += 1
         self._owner = f'{self._name}.{self._epoch}'
         self.sender = copy_sender.CopySender(owner=self._owner)
