--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -355,7 +355,7 @@
             return
         copies = self.peers.copies
         await copies.flush()
-        self.hands_over = bool(copies.sender.heir_id)
+        self.hands_over = bool(copies.sender.successor_id)
         if not self.hands_over:
             return
         for live in self._open:
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -135,7 +135,7 @@
         """
         request_id = live.record.request_id
         for _ in range(MAX_COPY_TRIES):
-            if not self.sender.heir_id:
+            if not self.sender.successor_id:
                 break
             if await self._send(only=request_id):
                 return
@@ -143,7 +143,7 @@
 
     async def flush(self) -> None:
         """Send what the heir lacks."""
-        if self.sender.heir_id and not self._sending.locked():
+        if self.sender.successor_id and not self._sending.locked():
             await self._send()
 
     async def _send(self, only: str | None = None) -> bool:
@@ -153,7 +153,7 @@
         return await self._send_batch(only)
 
     async def _send_batch(self, only: str | None) -> bool:
-        heir_id = self.sender.heir_id
+        heir_id = self.sender.successor_id
         batch = self.sender.batch(only)
         if batch is None:
             return True
@@ -217,7 +217,7 @@
             for item in view.working
             if item.host_id != self._host_id
         }
-        heir_id = self.sender.heir_id
+        heir_id = self.sender.successor_id
         if heir_id not in working:
             names = rendezvous.ranked(self._owner, working)
             ranked = zone_cost.rank_heirs(
@@ -226,11 +226,11 @@
                 costs=self._costs,
             )
             heir_id = ranked[0] if ranked else ''
-            if heir_id != self.sender.heir_id:
+            if heir_id != self.sender.successor_id:
                 LOG.info('copies go to %s', heir_id or 'nobody')
-            self.sender.set_heir(heir_id)
+            self.sender.set_successor(heir_id)
         if heir_id and not self.sender.uncopied:
-            self._leases.name_heir(HOST + self._owner, heir_id)
+            self._leases.set_successor(HOST + self._owner, heir_id)
 
     def take_over(self, view: member_view.MemberView) -> None:
         """Take over copies whose owner is gone, once its lease is free."""
@@ -252,11 +252,11 @@
         held = self._leases.held(resource, peer_clock.clock_s())
         if held is None or not self.may_serve:
             return
-        if held.known_heir_id in ('', self._host_id):
+        if held.known_successor_id in ('', self._host_id):
             # Who takes over has itself noted as the heir first: a host
             # with another copy that comes later learns it is too late.
-            self._leases.name_heir(resource, self._host_id)
-            if held.heir_id != self._host_id:
+            self._leases.set_successor(resource, self._host_id)
+            if held.successor_id != self._host_id:
                 return
             found = self.copies.take_over(owner)
             LOG.info('took %d records over from %s', len(found), owner)
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -234,7 +234,7 @@
             },
             'unsure': list(view.unsure),
             'may_serve': self.copies.may_serve,
-            'heir': self.copies.sender.heir_id,
+            'heir': self.copies.sender.successor_id,
             'uncopied': self.copies.sender.uncopied,
             'copies_held': len(self.copies.copies),
             'copies_missed': self.copies.copies_missed,
--- a/limpetroute/peers/copy_sender.py
+++ b/limpetroute/peers/copy_sender.py
@@ -49,7 +49,7 @@
         This host and its incarnation.
     """
 
-    __slots__ = ('_dropped', '_owner', '_quiet', '_records', 'heir_id')
+    __slots__ = ('_dropped', '_owner', '_quiet', '_records', 'successor_id')
 
     def __init__(self, *, owner: str) -> None:
         self._owner = owner
@@ -58,11 +58,11 @@
         # each round would go over all that is kept for a resume.
         self._quiet: dict[str, OwnRecord] = {}
         self._dropped: list[str] = []
-        self.heir_id = ''
+        self.successor_id = ''
 
     def __repr__(self) -> str:
         return (
-            f'{type(self).__name__}(heir_id={self.heir_id!r}, '
+            f'{type(self).__name__}(successor_id={self.successor_id!r}, '
             f'records={len(self._records)!r})'
         )
 
@@ -81,15 +81,15 @@
             self._dropped.append(request_id)
 
     def release(self, request_id: str) -> None:
-        """Send nothing more of a record that the heir goes on with."""
+        """Send nothing more of a record that the successor goes on with."""
         self._records.pop(request_id, None)
         self._quiet.pop(request_id, None)
 
-    def set_heir(self, heir_id: str) -> None:
+    def set_successor(self, successor_id: str) -> None:
         """Copy everything to another host."""
-        if heir_id == self.heir_id:
+        if successor_id == self.successor_id:
             return
-        self.heir_id = heir_id
+        self.successor_id = successor_id
         self._dropped.clear()
         self._records.update(self._quiet)
         self._quiet.clear()
@@ -97,7 +97,7 @@
             own.acked = None
 
     def is_copied(self, request_id: str) -> bool:
-        """Whether the heir has the record."""
+        """Whether the successor has the record."""
         if request_id in self._quiet:
             return True
         own = self._records.get(request_id)
@@ -105,13 +105,13 @@
 
     @property
     def uncopied(self) -> int:
-        """Records that the heir has nothing of."""
+        """Records that the successor has nothing of."""
         return sum(own.acked is None for own in self._records.values())
 
     def batch(self, only: str | None = None) -> record_copy.CopyBatch | None:
         """Return news that the copy lacks, or None.
 
-        A batch is bounded by its size. After a change of the heir, whole
+        A batch is bounded by its size. After a change of successor, whole
         records in one batch take longer on a slow link than its deadline
         is; sent again as a whole each time, no copy ever gets there.
 
@@ -145,10 +145,10 @@
         self,
         batch: record_copy.CopyBatch,
         reply: record_copy.CopyReply,
-        heir_id: str,
+        successor_id: str,
     ) -> None:
         """Note what the copy has now."""
-        if heir_id != self.heir_id or not reply.taken:
+        if successor_id != self.successor_id or not reply.taken:
             return
         gone = set(batch.dropped)
         self._dropped = [name for name in self._dropped if name not in gone]
--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -234,7 +234,7 @@
             return
         move = self._moves.pop(runner_id)
         self._books.pop(runner_id, None)
-        self._holder.unwant(RUNNER + runner_id, heir_id=move.target_id)
+        self._holder.unwant(RUNNER + runner_id, successor_id=move.target_id)
 
     # -- leases
 
--- a/limpetroute/peers/lease_codec.py
+++ b/limpetroute/peers/lease_codec.py
@@ -12,9 +12,9 @@
 
 def encode_ask(ask: lease_message.LeaseRequest) -> bytes:
     """Encode an ask as lists, in the order of the fields."""
-    wants = [[item.resource, item.fence, item.heir] for item in ask.wants]
+    wants = [[item.resource, item.fence, item.successor] for item in ask.wants]
     releases = [
-        [item.resource, item.fence, item.heir_id] for item in ask.releases
+        [item.resource, item.fence, item.successor_id] for item in ask.releases
     ]
     return _dump([ask.number, ask.holder_id, wants, releases])
 
@@ -39,7 +39,7 @@
             int(item.granted),
             item.highest_fence,
             item.holder_id,
-            item.heir,
+            item.successor,
         ]
         for item in vote.answers
     ]
@@ -64,15 +64,19 @@
         holder_id=str(holder_id),
         wants=tuple(
             lease_message.LeaseWant(
-                resource=str(resource), fence=int(fence), heir=str(heir)
+                resource=str(resource),
+                fence=int(fence),
+                successor=str(successor),
             )
-            for resource, fence, heir in wants
+            for resource, fence, successor in wants
         ),
         releases=tuple(
             lease_message.LeaseRelease(
-                resource=str(resource), fence=int(fence), heir_id=str(heir)
+                resource=str(resource),
+                fence=int(fence),
+                successor_id=str(successor),
             )
-            for resource, fence, heir in releases
+            for resource, fence, successor in releases
         ),
     )
 
@@ -89,9 +93,9 @@
                 granted=bool(granted),
                 highest_fence=int(highest),
                 holder_id=str(holder_id),
-                heir=str(heir),
+                successor=str(successor),
             )
-            for resource, fence, granted, highest, holder_id, heir in answers
+            for resource, fence, granted, highest, holder_id, successor in answers
         ),
     )
 
--- a/limpetroute/peers/lease_holder.py
+++ b/limpetroute/peers/lease_holder.py
@@ -25,10 +25,10 @@
         Highest number that the voters had seen before this one.
     since_s, until_s : float
         When it was first held, and when its use must end.
-    known_heir_id : str
-        Newest heir that the voters know of.
-    heir_id : str
-        Heir that a majority of voters has noted for this lease.
+    known_successor_id : str
+        Newest successor that the voters know of.
+    successor_id : str
+        Successor that a majority of voters has noted for this lease.
     """
 
     resource: str
@@ -36,8 +36,8 @@
     previous_fence: int
     since_s: float
     until_s: float
-    known_heir_id: str = ''
-    heir_id: str = ''
+    known_successor_id: str = ''
+    successor_id: str = ''
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -45,16 +45,16 @@
     fence: int
     previous_fence: int = 0
     since_s: float | None = None
-    heir: str = ''
-    known_heir: str = ''
-    noted_heirs: dict[str, str] = dataclasses.field(default_factory=dict)
+    successor: str = ''
+    known_successor: str = ''
+    noted_successors: dict[str, str] = dataclasses.field(default_factory=dict)
     promised_s: dict[str, float] = dataclasses.field(default_factory=dict)
     refused_by: dict[str, str] = dataclasses.field(default_factory=dict)
 
-    def note_known(self, heir: str) -> None:
-        """Keep the newest heir that the voters know of."""
-        self.known_heir = max(
-            self.known_heir, heir, key=lease_message.heir_order
+    def note_known(self, successor: str) -> None:
+        """Keep the newest successor that the voters know of."""
+        self.known_successor = max(
+            self.known_successor, successor, key=lease_message.successor_order
         )
 
 
@@ -135,14 +135,14 @@
         self._wanted[resource] = _Wanted(fence=max(fence_floor, last + 1))
         self._next_ask_s = 0.0
 
-    def unwant(self, resource: str, *, heir_id: str = '') -> None:
+    def unwant(self, resource: str, *, successor_id: str = '') -> None:
         """Stop using a resource and give it back at the next tick.
 
         Parameters
         ----------
         resource : str
             The resource.
-        heir_id : str
+        successor_id : str
             Host that alone may have it before it would have lapsed.
         """
         wanted = self._wanted.get(resource)
@@ -151,7 +151,9 @@
         self.relinquish(resource)
         self._releases.append(
             lease_message.LeaseRelease(
-                resource=resource, fence=wanted.fence, heir_id=heir_id
+                resource=resource,
+                fence=wanted.fence,
+                successor_id=successor_id,
             )
         )
         self._next_ask_s = 0.0
@@ -176,20 +178,22 @@
             previous_fence=wanted.previous_fence,
             since_s=wanted.since_s,
             until_s=until_s,
-            known_heir_id=lease_message.heir_host(wanted.known_heir),
-            heir_id=self._noted_heir(wanted),
+            known_successor_id=lease_message.successor_host(
+                wanted.known_successor
+            ),
+            successor_id=self._noted_successor(wanted),
         )
 
-    def name_heir(self, resource: str, heir_id: str) -> None:
+    def set_successor(self, resource: str, successor_id: str) -> None:
         """Have the voters note who holds copies."""
         wanted = self._wanted.get(resource)
         if wanted is None:
             return
-        if lease_message.heir_host(wanted.heir) == heir_id:
+        if lease_message.successor_host(wanted.successor) == successor_id:
             return
-        _, number = lease_message.heir_order(wanted.heir)
-        wanted.heir = lease_message.heir_text(
-            wanted.fence, number + 1, heir_id
+        _, number = lease_message.successor_order(wanted.successor)
+        wanted.successor = lease_message.successor_text(
+            wanted.fence, number + 1, successor_id
         )
         self._next_ask_s = 0.0
 
@@ -216,7 +220,7 @@
         self._number += 1
         wants = [
             lease_message.LeaseWant(
-                resource=name, fence=item.fence, heir=item.heir
+                resource=name, fence=item.fence, successor=item.successor
             )
             for name, item in self._wanted.items()
         ]
@@ -239,11 +243,11 @@
         if ask is None or vote.voter_id not in self._voters:
             return
         asked_s = self._asked_s[vote.number]
-        self._note_heirs(vote, ask)
+        self._note_successors(vote, ask)
         for answer in vote.answers:
             self._take(vote.voter_id, answer, asked_s, now_s)
 
-    def _note_heirs(
+    def _note_successors(
         self, vote: lease_message.LeaseVote, ask: lease_message.LeaseRequest
     ) -> None:
         granted = {item.resource for item in vote.answers if item.granted}
@@ -252,7 +256,7 @@
             if wanted is None or item.resource not in granted:
                 continue
             if wanted.fence == item.fence:
-                wanted.noted_heirs[vote.voter_id] = item.heir
+                wanted.noted_successors[vote.voter_id] = item.successor
 
     def _take(
         self,
@@ -264,7 +268,7 @@
         wanted = self._wanted.get(answer.resource)
         if wanted is None:
             return
-        wanted.note_known(answer.heir)
+        wanted.note_known(answer.successor)
         if answer.fence != wanted.fence:
             return
         if not answer.granted:
@@ -296,7 +300,7 @@
             wanted.previous_fence, answer.highest_fence
         )
         wanted.promised_s.clear()
-        wanted.noted_heirs.clear()
+        wanted.noted_successors.clear()
         self._next_ask_s = 0.0
 
     def _drop_lapsed(self, now_s: float) -> None:
@@ -312,13 +316,13 @@
             wanted.fence += 1
             wanted.since_s = None
             wanted.promised_s.clear()
-            wanted.noted_heirs.clear()
+            wanted.noted_successors.clear()
 
-    def _noted_heir(self, wanted: _Wanted) -> str:
+    def _noted_successor(self, wanted: _Wanted) -> str:
         majority = len(self._voters) // 2 + 1
-        noted = list(wanted.noted_heirs.values())
-        if noted.count(wanted.heir) >= majority:
-            return lease_message.heir_host(wanted.heir)
+        noted = list(wanted.noted_successors.values())
+        if noted.count(wanted.successor) >= majority:
+            return lease_message.successor_host(wanted.successor)
         return ''
 
     def _until_s(self, wanted: _Wanted) -> float | None:
--- a/limpetroute/peers/lease_message.py
+++ b/limpetroute/peers/lease_message.py
@@ -13,14 +13,14 @@
         The resource.
     fence : int
         Fencing number.
-    heir : str
+    successor : str
         Host that holds copies of what the lease protects and alone is
-        to take over, as `heir_text` writes it. Empty if not named.
+        to take over, as `successor_text` writes it. Empty if not named.
     """
 
     resource: str
     fence: int
-    heir: str = ''
+    successor: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -33,14 +33,14 @@
         The resource.
     fence : int
         The number it was held under.
-    heir_id : str
+    successor_id : str
         Host that has the holder's books and alone may have the lease
         before it would have lapsed; empty if anybody may.
     """
 
     resource: str
     fence: int
-    heir_id: str = ''
+    successor_id: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -81,8 +81,8 @@
         Highest number the voter had seen before.
     holder_id : str
         Host that the voter's promise stands for; empty if none.
-    heir : str
-        Heir that the last holder named, as the voter remembers it.
+    successor : str
+        Successor that the last holder named, as the voter remembers it.
     """
 
     resource: str
@@ -90,7 +90,7 @@
     granted: bool
     highest_fence: int
     holder_id: str = ''
-    heir: str = ''
+    successor: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -102,19 +102,19 @@
     answers: tuple[LeaseAnswer, ...] = ()
 
 
-def heir_text(fence: int, number: int, host_id: str) -> str:
-    """Write an heir; a higher fence or number stands for newer word."""
+def successor_text(fence: int, number: int, host_id: str) -> str:
+    """Write a successor; a higher fence or number stands for newer word."""
     return f'{fence}.{number}:{host_id}'
 
 
-def heir_order(heir: str) -> tuple[int, int]:
-    """Return the place of an heir among others; the highest holds."""
-    fence, _, number = heir.partition(':')[0].partition('.')
+def successor_order(successor: str) -> tuple[int, int]:
+    """Return the place of a successor among others; the highest holds."""
+    fence, _, number = successor.partition(':')[0].partition('.')
     if not fence.isdigit() or not number.isdigit():
         return (-1, -1)
     return (int(fence), int(number))
 
 
-def heir_host(heir: str) -> str:
-    """Return the host of an heir."""
-    return heir.partition(':')[2]
+def successor_host(successor: str) -> str:
+    """Return the host of a successor."""
+    return successor.partition(':')[2]
--- a/limpetroute/peers/lease_voter.py
+++ b/limpetroute/peers/lease_voter.py
@@ -35,7 +35,7 @@
 
     __slots__ = (
         '_config',
-        '_heirs',
+        '_successors',
         '_highest',
         '_promises',
         '_silent_until_s',
@@ -54,7 +54,7 @@
         self._silent_until_s = started_s + config.duration_s
         self._promises: dict[str, _Promise] = {}
         self._highest: dict[str, int] = {}
-        self._heirs: dict[str, str] = {}
+        self._successors: dict[str, str] = {}
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(voter_id={self._id!r})'
@@ -87,8 +87,8 @@
             return
         if promise.fence != item.fence:
             return
-        if item.heir_id:
-            promise.holder_id = item.heir_id
+        if item.successor_id:
+            promise.holder_id = item.successor_id
             return
         del self._promises[item.resource]
 
@@ -96,7 +96,7 @@
         self, holder_id: str, item: lease_message.LeaseWant, now_s: float
     ) -> lease_message.LeaseAnswer:
         highest = self._highest.get(item.resource, 0)
-        heir = self._heirs.get(item.resource, '')
+        successor = self._successors.get(item.resource, '')
         standing = self.holder(item.resource, now_s)
         granted = self._may_grant(holder_id, item, highest, standing, now_s)
         if granted:
@@ -105,8 +105,10 @@
                 # The first answer may be lost: a renewal says again who
                 # was there before.
                 highest = promise.previous_fence
-            heir = max(heir, item.heir, key=lease_message.heir_order)
-            self._heirs[item.resource] = heir
+            successor = max(
+                successor, item.successor, key=lease_message.successor_order
+            )
+            self._successors[item.resource] = successor
             self._highest[item.resource] = item.fence
             self._promises[item.resource] = _Promise(
                 holder_id=holder_id,
@@ -121,7 +123,7 @@
             granted=granted,
             highest_fence=highest,
             holder_id=standing or '',
-            heir=heir,
+            successor=successor,
         )
 
     def _may_grant(
--- a/tests/peers/record_world.py
+++ b/tests/peers/record_world.py
@@ -96,7 +96,7 @@
             if self.linked(voter, name):
                 holder.on_vote(vote, self.now_s(name))
         self.check_own_lease(name)
-        self.choose_heir(name)
+        self.choose_successor(name)
         self.send_copies(name)
         self.take_over(name)
 
@@ -114,25 +114,27 @@
             self.records[name] = {}
         self.fences[name] = fence
 
-    def choose_heir(self, name):
+    def choose_successor(self, name):
         sender = self.senders[name]
-        if sender.heir_id and self.both(name, sender.heir_id):
+        if sender.successor_id and self.both(name, sender.successor_id):
             return
         for other in RATES:
             if other != name and self.both(name, other):
-                sender.set_heir(other)
+                sender.set_successor(other)
                 return
 
     def send_copies(self, name, only=None):
         sender = self.senders[name]
         batch = sender.batch(only)
-        if batch is not None and sender.heir_id:
-            if self.linked(name, sender.heir_id):
-                reply = self.copies[sender.heir_id].take(batch)
-                if self.linked(sender.heir_id, name):
-                    sender.on_reply(batch, reply, sender.heir_id)
-        if sender.heir_id and not sender.uncopied:
-            self.holders[name].name_heir(self.owner(name), sender.heir_id)
+        if batch is not None and sender.successor_id:
+            if self.linked(name, sender.successor_id):
+                reply = self.copies[sender.successor_id].take(batch)
+                if self.linked(sender.successor_id, name):
+                    sender.on_reply(batch, reply, sender.successor_id)
+        if sender.successor_id and not sender.uncopied:
+            self.holders[name].set_successor(
+                self.owner(name), sender.successor_id
+            )
 
     def take_over(self, name):
         """Take over from owners that are dead or cannot be reached."""
@@ -148,9 +150,9 @@
             held = self.holders[name].held(owner, self.now_s(name))
             if held is None:
                 continue
-            if held.known_heir_id in ('', name):
-                self.holders[name].name_heir(owner, name)
-                if held.heir_id != name:
+            if held.known_successor_id in ('', name):
+                self.holders[name].set_successor(owner, name)
+                if held.successor_id != name:
                     continue
                 for copied in copies.take_over(owner):
                     self.own(
--- a/tests/peers/test_copy_batches.py
+++ b/tests/peers/test_copy_batches.py
@@ -15,13 +15,13 @@
 def test_a_new_heir_gets_all_copies_over_a_slow_link():
     """The host that takes over knows none of the requests.
 
-    The heir changed while a hundred records with long prompts were kept.
+    The successor changed while 100 records with long prompts were kept.
     All of a batch's 64 whole records are 2.6 MB, which never arrived
     within its deadline and began anew each time.
     """
     sender = copy_sender.CopySender(owner='a@1.0')
     holder = copy_holder.CopyHolder()
-    sender.set_heir('b')
+    sender.set_successor('b')
     for number in range(RECORDS):
         record = request_record.RequestRecord(
             request_id=f'q{number}',
--- a/tests/peers/test_owner_names.py
+++ b/tests/peers/test_owner_names.py
@@ -17,7 +17,7 @@
     """A host is frozen for longer than its lease and wakes.
 
     Nobody has taken it for dead yet. It has dropped its records, so
-    the heir must go on with them though their owner is alive: callers
+    the successor must go on with them though their owner is alive: callers
     were told for 45 s that they are being taken over, and gave up.
     Seeded faults with seed 2 showed it.
     """
--- a/tests/peers/test_record_machine.py
+++ b/tests/peers/test_record_machine.py
@@ -187,7 +187,7 @@
     return request_id
 
 
-def test_caller_resumes_at_the_heir_after_a_kill():
+def test_caller_resumes_at_the_successor_after_a_kill():
     """A clerk reads a verdict when the entry host loses power.
 
     The clerk's program reconnects with the last event's id. The host
@@ -195,9 +195,9 @@
     """
     world = record_world.RecordWorld()
     request_id = _lose_the_owner(world)
-    (heir,) = world.has_it(request_id)
-    assert heir != 'a'
-    assert world.connect(request_id, heir, 1)
+    (successor,) = world.has_it(request_id)
+    assert successor != 'a'
+    assert world.connect(request_id, successor, 1)
     world.deliver(request_id)
     assert world.callers[request_id].connections[-1].got == ['run1-2']
 
@@ -220,10 +220,10 @@
 def test_blind_repeat_after_a_kill_is_not_given_events_again():
     world = record_world.RecordWorld()
     request_id = _lose_the_owner(world)
-    (heir,) = world.has_it(request_id)
-    record = world.records[heir][request_id]
+    (successor,) = world.has_it(request_id)
+    record = world.records[successor][request_id]
     assert record.delivery_unsure
-    assert not world.connect(request_id, heir, None)
+    assert not world.connect(request_id, successor, None)
 
 
 def test_frozen_owner_that_wakes_cannot_write():
@@ -242,14 +242,14 @@
         world.tick('c')
     names = world.has_it(request_id)
     assert len(names) == 2
-    (heir,) = [name for name in names if name != 'a']
-    assert world.connect(request_id, heir, 0)
+    (successor,) = [name for name in names if name != 'a']
+    assert world.connect(request_id, successor, 0)
     world.deliver(request_id)
     old, new = world.callers[request_id].connections
     assert (old.got, new.got) == (['run1-0'], ['run1-1'])
     world.cut.clear()
     world.tick('a')
-    assert world.has_it(request_id) == [heir]
+    assert world.has_it(request_id) == [successor]
 
 
 def test_second_host_may_fail_once_the_record_was_copied_again():
@@ -257,8 +257,8 @@
     world = record_world.RecordWorld()
     request_id = world.submit('a')
     world.deliver(request_id)
-    first_heir = world.senders['a'].heir_id
-    world.restart(first_heir)
+    first_successor = world.senders['a'].successor_id
+    world.restart(first_successor)
     for _ in range(20):
         world.real_s += 0.5
         world.tick_all()
@@ -279,12 +279,12 @@
     world = record_world.RecordWorld()
     request_id = world.submit('a')
     world.deliver(request_id)
-    first = world.senders['a'].heir_id
+    first = world.senders['a'].successor_id
     world.cut = {('a', first), (first, 'a')}
     for _ in range(8):
         world.real_s += 0.5
         world.tick_all()
-    second = world.senders['a'].heir_id
+    second = world.senders['a'].successor_id
     assert second != first
     world.cut = set()
     world.restart('a')
@@ -305,12 +305,12 @@
     world = record_world.RecordWorld()
     request_id = world.submit('a')
     world.deliver(request_id)
-    first = world.senders['a'].heir_id
+    first = world.senders['a'].successor_id
     world.cut = {('a', first), (first, 'a')}
     for _ in range(8):
         world.real_s += 0.5
         world.tick_all()
-    second = world.senders['a'].heir_id
+    second = world.senders['a'].successor_id
     world.restart('a')
     owner = next(iter(world.copies[first].owners))
     world.cut = {(second, first), ('a', first)}
@@ -339,7 +339,7 @@
 def test_end_that_may_have_been_told_is_not_told_again():
     """A host is lost right after it wrote the end of an answer.
 
-    The heir cannot know whether the caller read it. A blind repeat must
+    The successor cannot know if the caller read it. A blind repeat must
     be told that it was delivered, and not be given it a second time.
     """
     world = record_world.RecordWorld()
@@ -353,8 +353,8 @@
     for _ in range(30):
         world.real_s += 0.5
         world.tick_all()
-    (heir,) = world.has_it(request_id)
-    assert world.records[heir][request_id].end_delivered
+    (successor,) = world.has_it(request_id)
+    assert world.records[successor][request_id].end_delivered
 
 
 def test_copies_are_found_by_each_name_until_they_are_dropped():
@@ -363,7 +363,7 @@
     record = request_record.RequestRecord(
         request_id='req', team='t', key='k', body_digest='d', run_id='run'
     )
-    sender.set_heir('b')
+    sender.set_successor('b')
     sender.add(
         copy_sender.OwnRecord(
             record=record, request={}, runner=lambda: {'run_id': 'run.1'}
--- a/tests/peers/test_small_parts.py
+++ b/tests/peers/test_small_parts.py
@@ -134,9 +134,13 @@
     ask = lease_message.LeaseRequest(
         number=3,
         holder_id='a',
-        wants=(lease_message.LeaseWant(resource='r', fence=4, heir='4.0:b'),),
+        wants=(
+            lease_message.LeaseWant(resource='r', fence=4, successor='4.0:b'),
+        ),
         releases=(
-            lease_message.LeaseRelease(resource='s', fence=5, heir_id='c'),
+            lease_message.LeaseRelease(
+                resource='s', fence=5, successor_id='c'
+            ),
         ),
     )
     assert lease_codec.decode_ask(lease_codec.encode_ask(ask)) == ask
@@ -150,7 +154,7 @@
                 granted=True,
                 highest_fence=2,
                 holder_id='a',
-                heir='4.1:x',
+                successor='4.1:x',
             ),
         ),
     )
