--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -370,7 +370,7 @@
             return
         body = peer_codec.HAND_OVER.encode(message)
         if await self.calls.post(url, 'hand_over', body) is not None:
-            self.desk.on_handed(message.runner_id)
+            self.desk.on_hand_over_accepted(message.runner_id)
 
     def _spawn(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -228,7 +228,7 @@
         """Keep a book for when this host gets the lease."""
         self._handed[message.runner_id] = message
 
-    def on_handed(self, runner_id: str) -> None:
+    def on_hand_over_accepted(self, runner_id: str) -> None:
         """Give a lease back whose book the next holder has."""
         if runner_id not in self._moves:
             return
--- a/tests/peers/grant_world.py
+++ b/tests/peers/grant_world.py
@@ -86,7 +86,7 @@
             if isinstance(send.message, hand_over.HandOver):
                 other.on_hand_over(send.message)
                 if self.linked(send.host_id, name):
-                    desk.on_handed(send.message.runner_id)
+                    desk.on_hand_over_accepted(send.message.runner_id)
                 continue
             vote = other.voter.vote(send.message, self.now_s(send.host_id))
             if self.linked(send.host_id, name):
