--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -409,7 +409,7 @@
                 LOG.info('runner %s went silent', runner_id)
                 self.scheduler.runner_gone(runner_id)
                 if self.peers is not None:
-                    self.peers.desk.runner_gone(runner_id)
+                    self.peers.desk.remove_runner(runner_id)
 
 
 def new_request_id() -> str:
--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -144,7 +144,7 @@
         if book is not None:
             book.on_report(report, now_s)
 
-    def runner_gone(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Forget a runner and give its lease back."""
         self._reports.pop(runner_id, None)
         self._places.pop(runner_id, None)
