--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -125,7 +125,7 @@
 
     def forget(self, request_id: str) -> None:
         """Have the copy of a record dropped."""
-        self.sender.forget(request_id)
+        self.sender.remove(request_id)
 
     async def ensure(self, live: live_record.LiveRecord) -> None:
         """Return once the record's newest state is at the heir.
--- a/limpetroute/peers/copy_sender.py
+++ b/limpetroute/peers/copy_sender.py
@@ -73,7 +73,7 @@
         """Send a record's news from now on."""
         self._records[own.record.request_id] = own
 
-    def forget(self, request_id: str) -> None:
+    def remove(self, request_id: str) -> None:
         """Have the copy of a record dropped."""
         known = self._records.pop(request_id, None)
         known = known or self._quiet.pop(request_id, None)
--- a/tests/peers/record_world.py
+++ b/tests/peers/record_world.py
@@ -110,7 +110,7 @@
         fence = held.fence if held else None
         if self.fences[name] is not None and fence != self.fences[name]:
             for request_id in self.records[name]:
-                self.senders[name].forget(request_id)
+                self.senders[name].remove(request_id)
             self.records[name] = {}
         self.fences[name] = fence
 
--- a/tests/peers/test_record_machine.py
+++ b/tests/peers/test_record_machine.py
@@ -382,7 +382,7 @@
     assert holder.open_runs() == set()
     assert sender.batch() is None
     assert sender.is_copied('req')
-    sender.forget('req')
+    sender.remove('req')
     holder.take(sender.batch())
     assert holder.find('t', 'k') is None
     assert len(holder) == 0
