--- a/limpetroute/peers/grant_book.py
+++ b/limpetroute/peers/grant_book.py
@@ -105,7 +105,7 @@
             used += self._report.kv_used_bytes
         return max(0, self._report.kv_capacity_bytes - used)
 
-    def adopt(
+    def take_over(
         self, grants: typing.Iterable[grant.Grant], now_s: float
     ) -> None:
         """Take over the book of a holder that handed it over whole."""
@@ -150,7 +150,7 @@
         valid_s = min(self._config.valid_s, lease_until_s - now_s)
         return grant.GrantGiven(fence=self.fence, valid_s=valid_s)
 
-    def claim_again(
+    def reclaim(
         self, asked: grant.Grant, now_s: float, *, lease_until_s: float
     ) -> grant.GrantGiven | grant.GrantDenied:
         """Take note of a grant of an earlier holder.
--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -292,7 +292,7 @@
             config=self._grants,
         )
         if handed is not None and whole:
-            book.adopt(handed.grants, now_s)
+            book.take_over(handed.grants, now_s)
         report = self._reports.get(runner_id)
         if report is not None:
             book.on_report(report, now_s)
