--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -215,7 +215,7 @@
         if lease is None or book is None:
             return grant.NotHolder(holder_id=self.holder_of(runner_id, now_s))
         if again:
-            return book.claim_again(asked, now_s, lease_until_s=lease.until_s)
+            return book.reclaim(asked, now_s, lease_until_s=lease.until_s)
         return book.acquire(asked, now_s, lease_until_s=lease.until_s)
 
     def release(self, runner_id: str, work_id: str, now_s: float) -> None:
--- a/limpetroute/peers/lease_codec.py
+++ b/limpetroute/peers/lease_codec.py
@@ -92,10 +92,10 @@
                 fence=int(fence),
                 granted=bool(granted),
                 highest_fence=int(highest),
-                holder_id=str(holder_id),
+                holder_id=str(holder),
                 successor=str(successor),
             )
-            for resource, fence, granted, highest, holder_id, successor in answers
+            for resource, fence, granted, highest, holder, successor in answers
         ),
     )
 
