--- a/limpetroute/peers/__init__.py
+++ b/limpetroute/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What entry hosts share with each other."""
+"""Membership, leases, grants and record copies between entry hosts."""
--- a/limpetroute/peers/copy_holder.py
+++ b/limpetroute/peers/copy_holder.py
@@ -19,9 +19,9 @@
     owner : str
         The host that holds the record, and its incarnation.
     facts : RecordFacts
-        What never changes.
+        Part of the record that never changes.
     progress : RecordProgress
-        Newest progress; its ``events`` are all events so far.
+        Newest progress received; its ``events`` are all events so far.
     """
 
     owner: str
@@ -29,7 +29,7 @@
     progress: record_copy.RecordProgress
 
     def restore(self) -> request_record.RequestRecord:
-        """Make the record that the new owner goes on with."""
+        """Build the record with which the new owner continues."""
         facts = self.facts
         progress = self.progress
         record = request_record.RequestRecord(
@@ -43,20 +43,22 @@
         record.end = progress.end
         record.attachment_number = progress.attachment_number
         record.delivered_index = progress.delivered_index
-        # Told perhaps is told: twice would be a doubled answer, and who
-        # did not get it can still ask for it by its events.
+        # An end that may have been delivered counts as delivered: sending
+        # it again could duplicate the answer, and a caller that missed it
+        # can still resume from its last event.
         record.end_delivered = progress.end_delivered or progress.closing
         record.closing = progress.closing
-        # The owner may have delivered more than it could still report.
+        # The former owner may have delivered events after its last copy.
         record.delivery_unsure = bool(facts.request.get('stream'))
         return record
 
 
 class CopyHolder:
-    """Keeps copies, and gives them up to a new owner once.
+    """Keeps copies of records and gives each out once, to a new owner.
 
-    An owner's copies are taken over only with the lease on that
-    owner's records, which is free when its own use has ended.
+    A host takes over an owner's copies only while it holds the lease on
+    that owner's records. The lease becomes free only after the owner
+    has stopped using it.
     """
 
     __slots__ = ('_by_name', '_by_owner', '_count', '_open', '_taken')
@@ -64,7 +66,8 @@
     def __init__(self) -> None:
         self._by_owner: dict[str, dict[str, CopiedRecord]] = {}
         self._taken: dict[str, None] = {}
-        # Every look-up of a key asks here, so none may search.
+        # Every look-up of a request reads this index, so it must not
+        # scan all copies.
         self._by_name: dict[tuple[str, str], CopiedRecord] = {}
         self._open: dict[tuple[str, str], CopiedRecord] = {}
         self._count = 0
@@ -77,11 +80,11 @@
 
     @property
     def owners(self) -> tuple[str, ...]:
-        """Owners whose records are copied here."""
+        """Owners that have copies of their records here."""
         return tuple(self._by_owner)
 
     def take(self, batch: record_copy.CopyBatch) -> record_copy.CopyReply:
-        """Take news of an owner's records."""
+        """Apply a batch of updates to an owner's records."""
         if batch.owner in self._taken:
             return record_copy.CopyReply(taken=False)
         copies = self._by_owner.setdefault(batch.owner, {})
@@ -101,22 +104,22 @@
         return self._by_name.get((team, name))
 
     def open_runs(self) -> set[str]:
-        """Return the runs of copies whose request has not ended."""
+        """Return the run ids of copied requests that have not ended."""
         return {
             str(copied.progress.runner.get('run_id', ''))
             for copied in self._open.values()
         }
 
     def take_over(self, owner: str) -> list[CopiedRecord]:
-        """Give out an owner's copies; call it under the owner's lease."""
+        """Remove and return an owner's copies; requires the owner's lease."""
         self._taken[owner] = None
-        found = list(self._by_owner.pop(owner, {}).values())
-        for copied in found:
+        taken = list(self._by_owner.pop(owner, {}).values())
+        for copied in taken:
             self._remove(copied)
-        return found
+        return taken
 
     def drop(self, owner: str) -> None:
-        """Drop copies that another host has newer ones of."""
+        """Drop an owner's copies because another host has newer ones."""
         for copied in self._by_owner.pop(owner, {}).values():
             self._remove(copied)
 
@@ -139,14 +142,14 @@
             copies[progress.request_id] = copied
             self._add(copied)
             return True
-        known = old.progress.events
-        if progress.from_index > len(known):
+        old_events = old.progress.events
+        if progress.from_index > len(old_events):
             return False
         if progress.attachment_number < old.progress.attachment_number:
             return True
-        events = known[: progress.from_index] + progress.events
-        if len(events) < len(known):
-            # An older batch that came late.
+        events = old_events[: progress.from_index] + progress.events
+        if len(events) < len(old_events):
+            # This is an older batch that arrived late.
             return True
         old.progress = dataclasses.replace(
             progress, from_index=0, events=events
@@ -167,7 +170,7 @@
             return
         self._count -= 1
         for name in _names(copied):
-            # The key may name a newer request by now.
+            # The key may belong to a newer request by now.
             if self._by_name.get(name) is copied:
                 del self._by_name[name]
         self._open.pop((copied.owner, copied.facts.request_id), None)
--- a/limpetroute/peers/copy_sender.py
+++ b/limpetroute/peers/copy_sender.py
@@ -1,4 +1,4 @@
-"""Sends news of this host's records to the host that copies them."""
+"""Sends updates of this host's records to the host that copies them."""
 
 import dataclasses
 import typing
@@ -9,25 +9,25 @@
 __all__ = ['CopySender', 'OwnRecord']
 
 MAX_ITEMS = 64
-# A tenth of a second on a link of 5 Mbit/s, which is how often batches go.
+# Takes 0.1 s, the interval between batches, on a link of 5 Mbit/s.
 MAX_BATCH_CHARS = 65536
 _Mapping = typing.Mapping[str, typing.Any]
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class OwnRecord:
-    """A record of this host and what its copy is known to have.
+    """A record of this host and the state that its copy has confirmed.
 
     Parameters
     ----------
     record : RequestRecord
         The record.
     request : mapping
-        The request, as the copy needs it.
+        The request, with all that a successor needs to continue it.
     runner : callable
-        Returns the try in progress.
+        Returns the attempt in progress: its runner and run id.
     acked : RecordProgress or None
-        Newest progress the copy has; None while it has nothing.
+        Newest progress that the copy has; None if there is no copy yet.
     """
 
     record: request_record.RequestRecord
@@ -37,26 +37,26 @@
 
 
 class CopySender:
-    """Knows what the copy lacks, and who holds it.
+    """Tracks which updates the successor's copies still lack.
 
-    One host holds the copies of all this host's records. Were each
-    record's copy elsewhere, a host that takes over could not tell an
-    old copy from the newest.
+    One host, the successor, holds the copies of all records of this
+    host. If each record had its copy on a different host, a host that
+    takes over could not tell an old copy from the newest.
 
     Parameters
     ----------
     owner : str
-        This host and its incarnation.
+        Name of this host and its incarnation.
     """
 
-    __slots__ = ('_dropped', '_owner', '_quiet', '_records', 'successor_id')
+    __slots__ = ('_dropped', '_owner', '_finished', '_records', 'successor_id')
 
     def __init__(self, *, owner: str) -> None:
         self._owner = owner
         self._records: dict[str, OwnRecord] = {}
-        # Ended, told to the caller, and copied: looked at no more, or
-        # each round would go over all that is kept for a resume.
-        self._quiet: dict[str, OwnRecord] = {}
+        # Records whose end was delivered and copied. They are kept apart
+        # so that a batch does not scan all records kept for a resume.
+        self._finished: dict[str, OwnRecord] = {}
         self._dropped: list[str] = []
         self.successor_id = ''
 
@@ -67,65 +67,66 @@
         )
 
     def __len__(self) -> int:
-        return len(self._records) + len(self._quiet)
+        return len(self._records) + len(self._finished)
 
     def add(self, own: OwnRecord) -> None:
-        """Send a record's news from now on."""
+        """Start to send updates of a record."""
         self._records[own.record.request_id] = own
 
     def remove(self, request_id: str) -> None:
-        """Have the copy of a record dropped."""
-        known = self._records.pop(request_id, None)
-        known = known or self._quiet.pop(request_id, None)
-        if known is not None:
+        """Stop copying a record and have its copy dropped."""
+        own = self._records.pop(request_id, None)
+        own = own or self._finished.pop(request_id, None)
+        if own is not None:
             self._dropped.append(request_id)
 
     def release(self, request_id: str) -> None:
-        """Send nothing more of a record that the successor goes on with."""
+        """Stop copying a record that the successor has taken over."""
         self._records.pop(request_id, None)
-        self._quiet.pop(request_id, None)
+        self._finished.pop(request_id, None)
 
     def set_successor(self, successor_id: str) -> None:
-        """Copy everything to another host."""
+        """Copy all records to another host from now on."""
         if successor_id == self.successor_id:
             return
         self.successor_id = successor_id
         self._dropped.clear()
-        self._records.update(self._quiet)
-        self._quiet.clear()
+        self._records.update(self._finished)
+        self._finished.clear()
         for own in self._records.values():
             own.acked = None
 
     def is_copied(self, request_id: str) -> bool:
-        """Whether the successor has the record."""
-        if request_id in self._quiet:
+        """Whether the successor has a copy of the record."""
+        if request_id in self._finished:
             return True
         own = self._records.get(request_id)
         return own is not None and own.acked is not None
 
     @property
     def uncopied(self) -> int:
-        """Records that the successor has nothing of."""
+        """Number of records of which the successor has no copy."""
         return sum(own.acked is None for own in self._records.values())
 
     def batch(self, only: str | None = None) -> record_copy.CopyBatch | None:
-        """Return news that the copy lacks, or None.
+        """Return the next updates that the copies lack, or None.
 
-        A batch is bounded by its size. After a change of successor, whole
-        records in one batch take longer on a slow link than its deadline
-        is; sent again as a whole each time, no copy ever gets there.
+        The size of a batch is bounded. After a change of successor all
+        records must be sent whole. In one batch they would exceed the
+        deadline on a slow link and be sent again in full each time, so
+        no copy would ever arrive.
 
         Parameters
         ----------
         only : str or None
-            A request to send alone, at once.
+            Id of the only request to include; None for all requests.
         """
         items: list[record_copy.CopyItem] = []
         chars = 0
         for request_id, own in self._records.items():
             if only is not None and request_id != only:
                 continue
-            item = _news(own)
+            item = _update(own)
             if item is None:
                 continue
             chars += _chars(item)
@@ -147,11 +148,11 @@
         reply: record_copy.CopyReply,
         successor_id: str,
     ) -> None:
-        """Note what the copy has now."""
+        """Record which updates the successor has confirmed."""
         if successor_id != self.successor_id or not reply.taken:
             return
-        gone = set(batch.dropped)
-        self._dropped = [name for name in self._dropped if name not in gone]
+        dropped = set(batch.dropped)
+        self._dropped = [name for name in self._dropped if name not in dropped]
         for item in batch.items:
             own = self._records.get(item.progress.request_id)
             if own is None:
@@ -162,19 +163,19 @@
             if own.acked is None and item.facts is None:
                 continue
             own.acked = item.progress
-            if _is_over(own):
+            if _is_finished(own):
                 del self._records[item.progress.request_id]
-                self._quiet[item.progress.request_id] = own
+                self._finished[item.progress.request_id] = own
 
 
-def _is_over(own: OwnRecord) -> bool:
+def _is_finished(own: OwnRecord) -> bool:
     acked = own.acked
     if acked is None or acked.end is None:
         return False
     return acked.end_delivered or acked.closing
 
 
-def _news(own: OwnRecord) -> record_copy.CopyItem | None:
+def _update(own: OwnRecord) -> record_copy.CopyItem | None:
     record = own.record
     acked = own.acked
     from_index = 0
@@ -193,20 +194,20 @@
     )
     if acked is None:
         return record_copy.CopyItem(progress=progress, facts=_facts(own))
-    if not progress.events and _same(progress, acked):
+    if not progress.events and _is_unchanged(progress, acked):
         return None
     return record_copy.CopyItem(progress=progress)
 
 
 def _chars(item: record_copy.CopyItem) -> int:
-    """Return about how long an item is as text."""
+    """Estimate the length of an encoded item in characters."""
     chars = sum(map(len, item.progress.events))
     if item.facts is not None:
         chars += len(str(item.facts.request))
     return chars
 
 
-def _same(
+def _is_unchanged(
     new: record_copy.RecordProgress, old: record_copy.RecordProgress
 ) -> bool:
     return dataclasses.replace(
--- a/limpetroute/peers/grant.py
+++ b/limpetroute/peers/grant.py
@@ -1,20 +1,20 @@
-"""Room at a runner: what is asked for and what is answered."""
+"""Grants of capacity at a runner: the request and its replies."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Grant:
-    """One slot and some KV memory for one request.
+    """One slot and an amount of KV memory for one request.
 
     Parameters
     ----------
     work_id, run_id : str
-        The request, and its name at the runner.
+        Id of the request, and id of its run at the runner.
     asker_id : str
-        The entry host that uses it.
+        Entry host that uses the grant.
     kv_bytes : int
-        KV memory it may grow to.
+        KV memory that the request may use.
     """
 
     work_id: str
@@ -25,14 +25,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GrantGiven:
-    """The room is held.
+    """The capacity is reserved.
 
     Parameters
     ----------
     fence : int
-        Fencing number for the orders to the runner.
+        Fencing number to send with the orders to the runner.
     valid_s : float
-        Time, counted from the asking, in which the run may be started.
+        Time, from the sending of the request, in which the run may be
+        started.
     """
 
     fence: int
@@ -41,14 +42,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GrantDenied:
-    """There is no room, or it is not known yet.
+    """The capacity is not available, or not known yet.
 
     Parameters
     ----------
     free_slots : int
         Slots that the grantor counts as free.
     reason : str
-        ``full``, ``settling`` or ``moving``.
+        ``full``, ``settling``, ``moving`` or ``leaving``.
     """
 
     free_slots: int
@@ -57,12 +58,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotHolder:
-    """Another host grants room at the runner.
+    """The asked host does not grant capacity at the runner.
 
     Parameters
     ----------
     holder_id : str
-        The host that does, as far as this one knows; may be empty.
+        Host that grants it, if the asked host has the lease holder on
+        record; else empty.
     """
 
     holder_id: str = ''
--- a/limpetroute/peers/grant_book.py
+++ b/limpetroute/peers/grant_book.py
@@ -1,4 +1,4 @@
-"""What one lease holder has granted at one runner."""
+"""Grants that one lease holder has given at one runner."""
 
 import dataclasses
 import typing
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Held:
+class _HeldGrant:
     grant: grant.Grant
     until_s: float
 
@@ -19,14 +19,14 @@
 class GrantBook:
     """Counts slots and KV memory of one runner under one lease.
 
-    Several routers that each count for themselves overfill a runner,
-    as its reports lag. Here one host counts: its own grants, and runs
-    that the runner reports and no grant accounts for.
+    The reports of a runner lag, so several routers that each count for
+    themselves would overfill it. Instead the lease holder alone counts
+    its own grants and the runs that the runner reports without a grant.
 
-    A new holder does not know what the old one granted. The old
-    lease's end ends the grants that no run was started for, and what
-    was started is in every report measured after it; so the book gives
-    nothing before it has such a report.
+    A new holder does not have the grants of the former one. Those
+    without a started run end with the former lease, and started runs
+    appear in every report measured after it. The book therefore grants
+    nothing until it has such a report.
 
     Parameters
     ----------
@@ -35,9 +35,9 @@
     fence : int
         Fencing number of the lease.
     since_s : float
-        When this host got the lease.
+        When this host acquired the lease.
     config : GrantConfig
-        Times.
+        Durations of the grants.
     """
 
     __slots__ = (
@@ -65,7 +65,7 @@
         self.moving = False
         self._config = config
         self._since_s = since_s
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldGrant] = {}
         self._released_s: dict[str, float] = {}
         self._report: runner_report.RunnerReport | None = None
         self._settled = False
@@ -78,12 +78,12 @@
 
     @property
     def grants(self) -> tuple[grant.Grant, ...]:
-        """All grants that count."""
+        """Grants that occupy capacity."""
         return tuple(item.grant for item in self._held.values())
 
     @property
     def settled(self) -> bool:
-        """Whether the count can be relied on."""
+        """Whether all occupied capacity is accounted for."""
         return self._settled
 
     @property
@@ -91,7 +91,7 @@
         """Slots that can be granted now."""
         if self._report is None or not self._settled:
             return 0
-        used = len(self._held) + len(self._unknown_runs())
+        used = len(self._held) + len(self._ungranted_runs())
         return max(0, self._report.slots - used)
 
     @property
@@ -100,23 +100,24 @@
         if self._report is None or not self._settled:
             return 0
         used = sum(item.grant.kv_bytes for item in self._held.values())
-        if self._unknown_runs():
-            # Their share of the use is not reported: take it all.
+        if self._ungranted_runs():
+            # The report gives no use for each run, so the whole reported
+            # use is attributed to the runs without a grant.
             used += self._report.kv_used_bytes
         return max(0, self._report.kv_capacity_bytes - used)
 
     def take_over(
         self, grants: typing.Iterable[grant.Grant], now_s: float
     ) -> None:
-        """Take over the book of a holder that handed it over whole."""
+        """Take over all grants of a holder that handed over its book."""
         for item in grants:
-            self._keep(item, now_s)
+            self._store(item, now_s)
         self._settled = True
 
     def on_report(
         self, report: runner_report.RunnerReport, now_s: float
     ) -> None:
-        """Take a runner's report."""
+        """Apply a report of the runner, unless it is out of order."""
         old = self._report
         if old is not None and report.order <= old.order:
             return
@@ -131,45 +132,46 @@
     def acquire(
         self, asked: grant.Grant, now_s: float, *, lease_until_s: float
     ) -> grant.GrantGiven | grant.GrantDenied:
-        """Grant room, or renew what was granted.
+        """Grant capacity, or renew a grant.
 
         Parameters
         ----------
         asked : Grant
-            What is wanted; the same ``work_id`` again is a renewal.
+            The grant asked for; a known ``work_id`` makes it a renewal.
         now_s : float
             Now.
         lease_until_s : float
-            End of the lease: no grant may be used past it.
+            End of the lease; no grant may be used after it.
         """
         if asked.work_id not in self._held:
-            denied = self._deny(asked)
+            denied = self._denial(asked)
             if denied is not None:
                 return denied
-        self._keep(asked, now_s)
+        self._store(asked, now_s)
         valid_s = min(self._config.valid_s, lease_until_s - now_s)
         return grant.GrantGiven(fence=self.fence, valid_s=valid_s)
 
     def reclaim(
         self, asked: grant.Grant, now_s: float, *, lease_until_s: float
     ) -> grant.GrantGiven | grant.GrantDenied:
-        """Take note of a grant of an earlier holder.
+        """Re-register a grant that an earlier holder gave.
 
-        A run already on the runner is only given its name in the book
-        back; one that was not started needs room as any other.
+        A run that the runner already reports is registered without a
+        check. A run that was not started needs free capacity, like any
+        new grant.
         """
         report = self._report
         if report is not None and asked.run_id in report.runs:
-            self._keep(asked, now_s)
+            self._store(asked, now_s)
         return self.acquire(asked, now_s, lease_until_s=lease_until_s)
 
     def release(self, work_id: str, now_s: float) -> None:
-        """Give room back; idempotent."""
+        """Release the capacity of a request; idempotent."""
         held = self._held.pop(work_id, None)
         if held is not None:
             self._released_s[held.grant.run_id] = now_s
 
-    def _deny(self, asked: grant.Grant) -> grant.GrantDenied | None:
+    def _denial(self, asked: grant.Grant) -> grant.GrantDenied | None:
         if self.moving:
             return grant.GrantDenied(free_slots=0, reason='moving')
         if not self._settled or self._report is None:
@@ -180,22 +182,24 @@
             return grant.GrantDenied(free_slots=self.free_slots)
         return None
 
-    def _keep(self, item: grant.Grant, now_s: float) -> None:
+    def _store(self, item: grant.Grant, now_s: float) -> None:
         config = self._config
-        keep_s = config.valid_s * (1 + 2 * config.drift)
-        keep_s += config.report_delay_s
-        self._held[item.work_id] = _Held(grant=item, until_s=now_s + keep_s)
+        held_s = config.valid_s * (1 + 2 * config.drift)
+        held_s += config.report_delay_s
+        self._held[item.work_id] = _HeldGrant(
+            grant=item, until_s=now_s + held_s
+        )
 
-    def _unknown_runs(self) -> list[str]:
+    def _ungranted_runs(self) -> list[str]:
         assert self._report is not None
-        known = {item.grant.run_id for item in self._held.values()}
-        # A report may have been measured before a run's room was given
-        # back; counted again there, each answer would cost its slot for
-        # one more heartbeat.
+        granted = {item.grant.run_id for item in self._held.values()}
+        # A report may have been measured before a run's grant was
+        # released. Counting that run again would keep its slot occupied
+        # for one more heartbeat after each answer.
         return [
             run_id
             for run_id in self._report.runs
-            if run_id not in known and run_id not in self._released_s
+            if run_id not in granted and run_id not in self._released_s
         ]
 
     def _expire(self, now_s: float) -> None:
--- a/limpetroute/peers/grant_config.py
+++ b/limpetroute/peers/grant_config.py
@@ -1,28 +1,29 @@
-"""Times of the grants."""
+"""Durations of the grants."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GrantConfig:
-    """Times of the grants; the same on every host.
+    """Durations of the grants; must be the same on every host.
 
     Parameters
     ----------
     valid_s : float
-        Time in which a granted run may be started, unless renewed.
+        Time in which a granted run may be started, unless the grant is
+        renewed.
     order_flight_s : float
-        Longest time from the sending of an import order to its end; an
-        asker sends none when its grant lasts no longer than this.
+        Longest time from the sending of an import order to its end. An
+        entry host sends no order if its grant expires within this time.
     report_delay_s : float
-        Longest time a runner's report is under way.
+        Longest time that a runner's report is in transit.
     drift : float
-        Most that a clock gains or loses, as a share.
+        Highest rate error of a clock, as a fraction: 0.01 is 1%.
     move_after_s : float
-        Time a better placed host must have been there before a runner
-        is handed over to it.
+        Time for which a better placed host must have been present before
+        a runner is handed over to it.
     hand_over_s : float
-        Time after which a hand-over without an answer is given up.
+        Time after which a hand-over without a reply is abandoned.
     """
 
     valid_s: float = 4.0
