--- a/limpetroute/peers/grant.py
+++ b/limpetroute/peers/grant.py
@@ -63,8 +63,7 @@
     Parameters
     ----------
     holder_id : str
-        Host that grants it, if the asked host has the lease holder on
-        record; else empty.
+        Host that is believed to hold the lease; may be empty.
     """
 
     holder_id: str = ''
--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -1,11 +1,12 @@
-"""One entry host's part in granting room at all runners.
+"""Coordinates the grants of one entry host at the runners it leases.
 
-Pattern of load: several routers, each with reports half a second old,
-send to the runner that looked free to all of them. Without one counter
-for each runner they overfill it, and a prefill is thrown away with
-each refusal. Each runner therefore has one host that grants its room.
+Several routers whose reports are half a second old all send to the
+runner that looks free, and overfill it. Each refusal wastes a prefill.
+Each runner therefore has one host, the holder of its lease, that grants
+its capacity.
 
-The class is pure: messages and ``now_s`` come in, messages go out.
+The class does no input or output: it takes messages and ``now_s`` and
+returns the messages to send.
 """
 
 import dataclasses
@@ -29,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class GrantMessage:
-    """A message for another host, or for this one's own voter."""
+    """A message and its target: another host or this host's own voter."""
 
     host_id: str
     message: lease_message.LeaseRequest | hand_over.HandOver
@@ -43,31 +44,31 @@
 
 
 class GrantCoordinator:
-    """Holds leases of runners and grants their room.
+    """Holds leases of runners and grants their capacity.
 
     Parameters
     ----------
     host_id, zone : str
-        This host.
+        Id and availability zone of this host.
     voters : sequence of str
         Hosts that vote on leases, the same list on every host.
     leases : LeaseConfig
-        Times of the leases.
+        Durations of the leases.
     grants : GrantConfig
-        Times of the grants.
+        Durations of the grants.
     started_s : float
         When the process started.
     """
 
     __slots__ = (
+        '_assigned_hosts',
         '_books',
         '_grants',
-        '_handed',
         '_holder',
         '_hosts',
         '_id',
         '_moves',
-        '_places',
+        '_received_books',
         '_reports',
         '_zone',
         'leaving',
@@ -94,12 +95,12 @@
             voter_id=host_id, config=leases, started_s=started_s
         )
         self._hosts: dict[str, str] = {host_id: zone}
-        # Placing is a hash for each host: worked out once, not in each
-        # tick for each of a zone's runners.
-        self._places: dict[str, str | None] = {}
+        # Ranking hashes a runner's name with each host's. The result is
+        # cached so that a tick does not hash for each runner of a zone.
+        self._assigned_hosts: dict[str, str | None] = {}
         self._reports: dict[str, runner_report.RunnerReport] = {}
         self._books: dict[str, grant_book.GrantBook] = {}
-        self._handed: dict[str, hand_over.HandOver] = {}
+        self._received_books: dict[str, hand_over.HandOver] = {}
         self._moves: dict[str, _Move] = {}
         self.leaving = False
 
@@ -111,60 +112,60 @@
 
     @property
     def leases(self) -> lease_holder.LeaseHolder:
-        """All leases of this host; the desk uses those of runners."""
+        """All leases of this host, including those that are not of runners."""
         return self._holder
 
     @property
     def books(self) -> tuple[grant_book.GrantBook, ...]:
-        """Books of the runners held, settled or not."""
+        """Books of all runners whose lease is held, settled or not."""
         return tuple(self._books.values())
 
     def reports(self) -> tuple[runner_report.RunnerReport, ...]:
-        """Newest report of each runner known."""
+        """Return the newest report of each known runner."""
         return tuple(self._reports.values())
 
     def set_hosts(self, hosts: typing.Mapping[str, str]) -> None:
-        """Take the hosts that may hold leases, each with its zone."""
+        """Set the hosts that may hold leases, each with its zone."""
         if hosts == self._hosts:
             return
         self._hosts = dict(hosts)
-        self._places.clear()
+        self._assigned_hosts.clear()
 
     def on_report(
         self, report: runner_report.RunnerReport, now_s: float
     ) -> None:
-        """Take a decode runner's report."""
+        """Store a decode runner's report, unless it is out of order."""
         old = self._reports.get(report.runner_id)
         if old is not None and report.order <= old.order:
             return
         if old is None or old.zone != report.zone:
-            self._places.pop(report.runner_id, None)
+            self._assigned_hosts.pop(report.runner_id, None)
         self._reports[report.runner_id] = report
         book = self._books.get(report.runner_id)
         if book is not None:
             book.on_report(report, now_s)
 
     def remove_runner(self, runner_id: str) -> None:
-        """Forget a runner and give its lease back."""
+        """Remove a runner and give up its lease."""
         self._reports.pop(runner_id, None)
-        self._places.pop(runner_id, None)
+        self._assigned_hosts.pop(runner_id, None)
         self._drop_book(runner_id)
 
     def holder_of(self, runner_id: str, now_s: float) -> str:
-        """Return the host to ask for room at a runner."""
+        """Return the host that grants capacity at a runner, or ''."""
         if self._holder.held(RUNNER + runner_id, now_s) is not None:
             return self._id
         promised = self.voter.holder(RUNNER + runner_id, now_s)
         if promised is not None and promised != self._id:
             return promised
-        return self._placed(runner_id) or ''
+        return self._assigned_host(runner_id) or ''
 
     def holds(self, runner_id: str, now_s: float) -> bool:
-        """Whether this host may act for a runner now."""
+        """Whether this host holds the lease of a runner now."""
         return self._holder.held(RUNNER + runner_id, now_s) is not None
 
     def tick(self, now_s: float, *, fence_floor: int) -> list[GrantMessage]:
-        """Do what is due; call it a few times in a second.
+        """Do the periodic work; call it several times per second.
 
         Parameters
         ----------
@@ -175,7 +176,7 @@
         """
         out: list[GrantMessage] = []
         for runner_id in list(self._reports):
-            self._choose(runner_id, fence_floor)
+            self._update_wanted_lease(runner_id, fence_floor)
         self._open_books(now_s)
         for runner_id in list(self._books):
             out += self._move(runner_id, now_s)
@@ -184,7 +185,7 @@
         return out
 
     def on_vote(self, vote: lease_message.LeaseVote, now_s: float) -> None:
-        """Take a voter's answers."""
+        """Apply a voter's answers."""
         self._holder.on_vote(vote, now_s)
         self._open_books(now_s)
 
@@ -196,18 +197,18 @@
         *,
         again: bool = False,
     ) -> grant.GrantAnswer:
-        """Grant room at a runner.
+        """Grant capacity at a runner.
 
         Parameters
         ----------
         runner_id : str
             The runner.
         asked : Grant
-            What is wanted.
+            The grant asked for.
         now_s : float
             Now.
         again : bool
-            Whether an earlier holder granted it before.
+            Whether an earlier holder has already granted it.
         """
         self._open_books(now_s)
         lease = self._holder.held(RUNNER + runner_id, now_s)
@@ -219,17 +220,17 @@
         return book.acquire(asked, now_s, lease_until_s=lease.until_s)
 
     def release(self, runner_id: str, work_id: str, now_s: float) -> None:
-        """Give room back; idempotent."""
+        """Release the capacity of a request; idempotent."""
         book = self._books.get(runner_id)
         if book is not None:
             book.release(work_id, now_s)
 
     def on_hand_over(self, message: hand_over.HandOver) -> None:
-        """Keep a book for when this host gets the lease."""
-        self._handed[message.runner_id] = message
+        """Store a book until this host acquires the runner's lease."""
+        self._received_books[message.runner_id] = message
 
     def on_hand_over_accepted(self, runner_id: str) -> None:
-        """Give a lease back whose book the next holder has."""
+        """Release a lease to the host that accepted its book."""
         if runner_id not in self._moves:
             return
         move = self._moves.pop(runner_id)
@@ -238,20 +239,20 @@
 
     # -- leases
 
-    def _placed(self, runner_id: str) -> str | None:
-        if runner_id in self._places:
-            return self._places[runner_id]
+    def _assigned_host(self, runner_id: str) -> str | None:
+        if runner_id in self._assigned_hosts:
+            return self._assigned_hosts[runner_id]
         report = self._reports.get(runner_id)
         zone = report.zone if report is not None else ''
-        near = [host for host, at in self._hosts.items() if at == zone]
-        place = rendezvous.first(runner_id, near or self._hosts)
+        same_zone = [host for host, at in self._hosts.items() if at == zone]
+        host_id = rendezvous.first(runner_id, same_zone or self._hosts)
         if report is not None:
-            self._places[runner_id] = place
-        return place
+            self._assigned_hosts[runner_id] = host_id
+        return host_id
 
-    def _choose(self, runner_id: str, fence_floor: int) -> None:
+    def _update_wanted_lease(self, runner_id: str, fence_floor: int) -> None:
         resource = RUNNER + runner_id
-        if not self.leaving and self._placed(runner_id) == self._id:
+        if not self.leaving and self._assigned_host(runner_id) == self._id:
             self._holder.want(resource, fence_floor=fence_floor)
             return
         if runner_id not in self._books:
@@ -277,13 +278,15 @@
     def _new_book(
         self, runner_id: str, lease: lease_holder.LeaseHeld, now_s: float
     ) -> grant_book.GrantBook:
-        handed = self._handed.pop(runner_id, None)
-        # Only the book of the holder just before is whole. With another
-        # one between, the lease may have come early all the same, so
-        # that holder's grants are waited out.
-        whole = handed is not None and handed.fence == lease.previous_fence
+        received = self._received_books.pop(runner_id, None)
+        # A book is complete only if it is that of the previous holder. If
+        # another host held the lease in between, the lease may still have
+        # come early, so that host's grants must expire first.
+        complete = (
+            received is not None and received.fence == lease.previous_fence
+        )
         since_s = lease.since_s
-        if handed is not None and not whole:
+        if received is not None and not complete:
             since_s += self._grants.valid_s * (1 + 2 * self._grants.drift)
         book = grant_book.GrantBook(
             runner_id=runner_id,
@@ -291,8 +294,8 @@
             since_s=since_s,
             config=self._grants,
         )
-        if handed is not None and whole:
-            book.take_over(handed.grants, now_s)
+        if received is not None and complete:
+            book.take_over(received.grants, now_s)
         report = self._reports.get(runner_id)
         if report is not None:
             book.on_report(report, now_s)
@@ -301,7 +304,7 @@
     # -- hand-over
 
     def _move(self, runner_id: str, now_s: float) -> list[GrantMessage]:
-        target_id = self._target(runner_id)
+        target_id = self._move_target(runner_id)
         move = self._moves.get(runner_id)
         book = self._books[runner_id]
         if target_id is None:
@@ -315,7 +318,7 @@
             self._moves[runner_id] = move
             book.moving = False
         if move.sent:
-            self._give_up_move(runner_id, move, now_s)
+            self._abandon_if_unanswered(runner_id, move, now_s)
             return []
         wait_s = 0.0 if self.leaving else self._grants.move_after_s
         if now_s - move.since_s < wait_s:
@@ -331,32 +334,34 @@
         )
         return [GrantMessage(host_id=target_id, message=message)]
 
-    def _target(self, runner_id: str) -> str | None:
-        placed = self._placed(runner_id)
-        if placed == self._id and not self.leaving:
+    def _move_target(self, runner_id: str) -> str | None:
+        assigned_id = self._assigned_host(runner_id)
+        if assigned_id == self._id and not self.leaving:
             return None
-        if placed == self._id:
+        if assigned_id == self._id:
             others = {
                 host: zone
                 for host, zone in self._hosts.items()
                 if host != self._id
             }
             return rendezvous.first(runner_id, others)
-        return placed
+        return assigned_id
 
-    def _give_up_move(self, runner_id: str, move: _Move, now_s: float) -> None:
+    def _abandon_if_unanswered(
+        self, runner_id: str, move: _Move, now_s: float
+    ) -> None:
         if now_s - move.since_s < self._grants.hand_over_s:
             return
-        # Whether the other has the book is not known, so this host may
-        # grant no more under the number it was sent with.
+        # The target may have received the book, so this host must not
+        # grant under the fencing number in it any more.
         self._drop_book(runner_id)
 
     def _drop_book(self, runner_id: str) -> None:
-        """Stop granting for a runner.
+        """Stop granting at a runner.
 
-        Grants that were given stay usable until the lease would have
-        lapsed. Given back at once, the next holder could count without
-        them, so only a lease without any is given back.
+        Existing grants stay usable until the lease expires. If the lease
+        were released at once, the next holder would not count them, so
+        only a lease without grants is released.
         """
         self._moves.pop(runner_id, None)
         book = self._books.pop(runner_id, None)
--- a/limpetroute/peers/grant_ledger.py
+++ b/limpetroute/peers/grant_ledger.py
@@ -1,4 +1,4 @@
-"""The room that one entry host holds at runners."""
+"""Grants that one entry host uses at runners."""
 
 import dataclasses
 import typing
@@ -11,23 +11,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LedgerLine:
-    """One grant as its user sees it.
+    """One grant, as recorded by the entry host that uses it.
 
     Parameters
     ----------
     runner_id : str
-        Where the room is.
+        Runner at which the capacity is granted.
     holder_id : str
         Host that granted it.
     grant : Grant
-        What was granted.
+        The grant.
     fence : int
-        Fencing number for the orders.
+        Fencing number to send with the orders to the runner.
     until_s : float
-        When it lapses unless renewed.
+        When it expires, unless renewed.
     started : bool
-        Whether the run was started; from then on the runner's reports
-        speak for it, and it is not renewed.
+        Whether the run was started. From then on the runner's reports
+        account for it, and the grant is not renewed.
     """
 
     runner_id: str
@@ -39,12 +39,12 @@
 
 
 class GrantLedger:
-    """Keeps grants and says which may still be used.
+    """Keeps grants and decides which may still be used.
 
     Parameters
     ----------
     config : GrantConfig
-        Times.
+        Durations of the grants.
     """
 
     __slots__ = ('_config', '_lines')
@@ -72,7 +72,7 @@
         given: grant.GrantGiven,
         asked_s: float,
     ) -> LedgerLine:
-        """Note a grant, new or renewed; its time runs from the asking."""
+        """Record a new or renewed grant; it is valid from ``asked_s`` on."""
         drift = self._config.drift
         use_s = given.valid_s * (1 - drift) / (1 + drift)
         old = self.find(runner_id, asked.work_id)
@@ -88,19 +88,19 @@
         return line
 
     def pop(self, runner_id: str, work_id: str) -> LedgerLine | None:
-        """Forget a grant."""
+        """Remove and return a grant, or return None."""
         return self._lines.pop((runner_id, work_id), None)
 
     def find(self, runner_id: str, work_id: str) -> LedgerLine | None:
-        """Return a grant."""
+        """Return a grant, or None."""
         return self._lines.get((runner_id, work_id))
 
     def start(self, runner_id: str, work_id: str, now_s: float) -> bool:
-        """Note that the run is started now, if its grant allows it.
+        """Mark the run as started, if its grant is valid for long enough.
 
-        A holder that was frozen or cut off is replaced when its lease
-        lapses; an order sent later than this allows could land after
-        that and take room that was granted again.
+        A holder that froze or was cut off is replaced when its lease
+        expires. An order sent later than this check allows could arrive
+        after that and use capacity that was granted to another request.
         """
         line = self.find(runner_id, work_id)
         if line is None:
@@ -114,14 +114,14 @@
     def due(
         self, now_s: float, holders: typing.Mapping[str, str]
     ) -> list[LedgerLine]:
-        """Return grants to be renewed, or claimed at a new holder.
+        """Return grants to renew, or to reclaim at a new lease holder.
 
         Parameters
         ----------
         now_s : float
             Now.
         holders : mapping of str to str
-            Holder of each runner, as far as it is known.
+            Lease holder of each runner for which it is known.
         """
         margin_s = self._config.order_flight_s + self._config.valid_s / 4
         due = []
--- a/limpetroute/peers/hand_over.py
+++ b/limpetroute/peers/hand_over.py
@@ -1,4 +1,4 @@
-"""A lease holder's book on its way to the next holder."""
+"""Message that hands the grants of a runner to the next lease holder."""
 
 import dataclasses
 
@@ -7,18 +7,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HandOver:
-    """Everything granted at one runner.
+    """All grants at one runner.
 
     Parameters
     ----------
     runner_id : str
         The runner.
     from_id : str
-        The host that hands over; it grants no more.
+        Host that hands over and has stopped granting.
     fence : int
-        Its fencing number.
+        Fencing number of that host's lease.
     grants : tuple of Grant
-        What counts.
+        Grants that occupy capacity.
     """
 
     runner_id: str
--- a/limpetroute/peers/lease_codec.py
+++ b/limpetroute/peers/lease_codec.py
@@ -1,4 +1,4 @@
-"""Compact JSON of lease messages, which never stop flowing."""
+"""Compact JSON of lease messages, which hosts exchange continuously."""
 
 import json
 import typing
@@ -10,24 +10,27 @@
 _T = typing.TypeVar('_T')
 
 
-def encode_ask(ask: lease_message.LeaseRequest) -> bytes:
-    """Encode an ask as lists, in the order of the fields."""
-    wants = [[item.resource, item.fence, item.successor] for item in ask.wants]
+def encode_ask(request: lease_message.LeaseRequest) -> bytes:
+    """Encode a lease request as lists, in the order of the fields."""
+    wants = [
+        [item.resource, item.fence, item.successor] for item in request.wants
+    ]
     releases = [
-        [item.resource, item.fence, item.successor_id] for item in ask.releases
+        [item.resource, item.fence, item.successor_id]
+        for item in request.releases
     ]
-    return _dump([ask.number, ask.holder_id, wants, releases])
+    return _dump([request.number, request.holder_id, wants, releases])
 
 
 def decode_ask(data: bytes) -> lease_message.LeaseRequest:
-    """Decode an ask.
+    """Decode a lease request.
 
     Raises
     ------
     ValueError
-        If it is not one; the text quotes its start.
+        If the data is malformed; the message quotes its start.
     """
-    return _load(data, _ask)
+    return _load(data, _request)
 
 
 def encode_vote(vote: lease_message.LeaseVote) -> bytes:
@@ -52,12 +55,12 @@
     Raises
     ------
     ValueError
-        If it is not one; the text quotes its start.
+        If the data is malformed; the message quotes its start.
     """
     return _load(data, _vote)
 
 
-def _ask(body: typing.Any) -> lease_message.LeaseRequest:
+def _request(body: typing.Any) -> lease_message.LeaseRequest:
     number, holder_id, wants, releases = body
     return lease_message.LeaseRequest(
         number=int(number),
--- a/limpetroute/peers/lease_config.py
+++ b/limpetroute/peers/lease_config.py
@@ -1,20 +1,20 @@
-"""Times of the leases."""
+"""Durations of the leases."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseConfig:
-    """Times of the leases; the same on every host.
+    """Durations of the leases; must be the same on every host.
 
     Parameters
     ----------
     duration_s : float
-        Time a voter keeps a promise, on its own clock.
+        Time for which a voter keeps a promise, on its own clock.
     renew_s : float
-        Time between two asks of a holder.
+        Time between two requests of a holder.
     drift : float
-        Most that a clock gains or loses, as a share: 0.01 is 1%.
+        Highest rate error of a clock, as a fraction: 0.01 is 1%.
     """
 
     duration_s: float = 6.0
@@ -29,9 +29,9 @@
 
     @property
     def use_s(self) -> float:
-        """Time a holder may use a promise, counted from its asking.
+        """Time a holder may use a promise, from the sending of its request.
 
-        The holder's clock may be the slowest and the voter's the
-        fastest allowed; even then the holder stops first.
+        The holder stops before the voter's promise ends even if its own
+        clock has the lowest and the voter's the highest allowed rate.
         """
         return self.duration_s * (1 - self.drift) / (1 + self.drift)
--- a/limpetroute/peers/lease_holder.py
+++ b/limpetroute/peers/lease_holder.py
@@ -1,4 +1,4 @@
-"""The asking side of the leases."""
+"""Requests, renews and releases leases."""
 
 import dataclasses
 import typing
@@ -8,7 +8,7 @@
 
 __all__ = ['LeaseHeld', 'LeaseHolder']
 
-KEEP_ASKS = 64
+MAX_OPEN_REQUESTS = 64
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -18,17 +18,17 @@
     Parameters
     ----------
     resource : str
-        What is leased.
+        Name of the leased resource.
     fence : int
-        Fencing number; grows with each new holding.
+        Fencing number; grows each time the lease is acquired.
     previous_fence : int
-        Highest number that the voters had seen before this one.
+        Highest number that the voters had seen before ``fence``.
     since_s, until_s : float
-        When it was first held, and when its use must end.
+        When the lease was acquired, and when its use must end.
     known_successor_id : str
-        Newest successor that the voters know of.
+        Newest successor that any voter has reported.
     successor_id : str
-        Successor that a majority of voters has noted for this lease.
+        Successor that a majority of voters has stored for this lease.
     """
 
     resource: str
@@ -46,38 +46,38 @@
     previous_fence: int = 0
     since_s: float | None = None
     successor: str = ''
-    known_successor: str = ''
+    newest_successor: str = ''
     noted_successors: dict[str, str] = dataclasses.field(default_factory=dict)
     promised_s: dict[str, float] = dataclasses.field(default_factory=dict)
     refused_by: dict[str, str] = dataclasses.field(default_factory=dict)
 
-    def note_known(self, successor: str) -> None:
-        """Keep the newest successor that the voters know of."""
-        self.known_successor = max(
-            self.known_successor, successor, key=lease_message.successor_order
+    def note_reported(self, successor: str) -> None:
+        """Keep the newest successor that any voter has reported."""
+        self.newest_successor = max(
+            self.newest_successor, successor, key=lease_message.successor_order
         )
 
 
 class LeaseHolder:
-    """Wants leases, renews them, and knows until when it may use them.
+    """Acquires and renews leases, and limits how long each may be used.
 
     Parameters
     ----------
     holder_id : str
-        This host.
+        Id of this host.
     voters : sequence of str
         The hosts that vote, the same list on every host.
     config : LeaseConfig
-        Times, the same on every host.
+        Durations, the same on every host.
     """
 
     __slots__ = (
-        '_asked_s',
-        '_asks',
+        '_sent_s',
+        '_requests',
         '_config',
         '_id',
         '_last_fences',
-        '_next_ask_s',
+        '_next_request_s',
         '_number',
         '_releases',
         '_voters',
@@ -98,11 +98,11 @@
         self._config = config
         self._wanted: dict[str, _Wanted] = {}
         self._releases: list[lease_message.LeaseRelease] = []
-        self._asks: dict[int, lease_message.LeaseRequest] = {}
-        self._asked_s: dict[int, float] = {}
+        self._requests: dict[int, lease_message.LeaseRequest] = {}
+        self._sent_s: dict[int, float] = {}
         self._number = 0
         self._last_fences: dict[str, int] = {}
-        self._next_ask_s = 0.0
+        self._next_request_s = 0.0
 
     def __repr__(self) -> str:
         return (
@@ -112,38 +112,39 @@
 
     @property
     def wanted(self) -> tuple[str, ...]:
-        """Resources this host wants or holds."""
+        """Resources whose lease this host requests or holds."""
         return tuple(self._wanted)
 
     def want(self, resource: str, *, fence_floor: int) -> None:
-        """Ask for a resource from the next tick on.
+        """Request the lease of a resource from the next tick on.
 
         Parameters
         ----------
         resource : str
-            What is wanted.
+            Name of the resource.
         fence_floor : int
-            Lowest number to use. It must be higher after each start
-            of the process, as the time of the start or a number from
-            the control log is.
+            Lowest fencing number to use. It must grow with each start of
+            the process, like the start time or a number from the control
+            log.
         """
         if resource in self._wanted:
             return
-        # Under a number used before, a release of the earlier holding
-        # that arrives late would end the promises of this one.
+        # With a number that was used before, a late release of the earlier
+        # lease would end the promises for this lease.
         last = self._last_fences.get(resource, 0)
         self._wanted[resource] = _Wanted(fence=max(fence_floor, last + 1))
-        self._next_ask_s = 0.0
+        self._next_request_s = 0.0
 
     def unwant(self, resource: str, *, successor_id: str = '') -> None:
-        """Stop using a resource and give it back at the next tick.
+        """Stop using a resource and release its lease at the next tick.
 
         Parameters
         ----------
         resource : str
             The resource.
         successor_id : str
-            Host that alone may have it before it would have lapsed.
+            Only host that may acquire the lease before it would have
+            expired; empty if any host may.
         """
         wanted = self._wanted.get(resource)
         if wanted is None:
@@ -156,16 +157,16 @@
                 successor_id=successor_id,
             )
         )
-        self._next_ask_s = 0.0
+        self._next_request_s = 0.0
 
     def relinquish(self, resource: str) -> None:
-        """Stop using a resource and let its lease lapse."""
+        """Stop using a resource and let its lease expire."""
         wanted = self._wanted.pop(resource, None)
         if wanted is not None:
             self._last_fences[resource] = wanted.fence
 
     def held(self, resource: str, now_s: float) -> LeaseHeld | None:
-        """Return the lease if it may be used now."""
+        """Return the lease if it may be used now, else None."""
         wanted = self._wanted.get(resource)
         if wanted is None or wanted.since_s is None:
             return None
@@ -179,13 +180,13 @@
             since_s=wanted.since_s,
             until_s=until_s,
             known_successor_id=lease_message.successor_host(
-                wanted.known_successor
+                wanted.newest_successor
             ),
             successor_id=self._noted_successor(wanted),
         )
 
     def set_successor(self, resource: str, successor_id: str) -> None:
-        """Have the voters note who holds copies."""
+        """Have the voters store which host holds the copies."""
         wanted = self._wanted.get(resource)
         if wanted is None:
             return
@@ -195,10 +196,10 @@
         wanted.successor = lease_message.successor_text(
             wanted.fence, number + 1, successor_id
         )
-        self._next_ask_s = 0.0
+        self._next_request_s = 0.0
 
     def other_holder(self, resource: str) -> str | None:
-        """Return who holds it by the voters' refusals, if any said."""
+        """Return the other holder that a voter named in a refusal, or None."""
         wanted = self._wanted.get(resource)
         if wanted is None:
             return None
@@ -210,11 +211,11 @@
     def tick(
         self, now_s: float
     ) -> list[tuple[str, lease_message.LeaseRequest]]:
-        """Return the asks that are due, each with its voter."""
-        self._drop_lapsed(now_s)
-        if now_s < self._next_ask_s:
+        """Return the requests that are due, each with its voter."""
+        self._reset_expired(now_s)
+        if now_s < self._next_request_s:
             return []
-        self._next_ask_s = now_s + self._config.renew_s
+        self._next_request_s = now_s + self._config.renew_s
         if not self._wanted and not self._releases:
             return []
         self._number += 1
@@ -224,51 +225,53 @@
             )
             for name, item in self._wanted.items()
         ]
-        ask = lease_message.LeaseRequest(
+        request = lease_message.LeaseRequest(
             number=self._number,
             holder_id=self._id,
             wants=tuple(wants),
             releases=tuple(self._releases),
         )
         self._releases = []
-        self._asks[self._number] = ask
-        self._asked_s[self._number] = now_s
-        self._asks.pop(self._number - KEEP_ASKS, None)
-        self._asked_s.pop(self._number - KEEP_ASKS, None)
-        return [(voter_id, ask) for voter_id in self._voters]
+        self._requests[self._number] = request
+        self._sent_s[self._number] = now_s
+        self._requests.pop(self._number - MAX_OPEN_REQUESTS, None)
+        self._sent_s.pop(self._number - MAX_OPEN_REQUESTS, None)
+        return [(voter_id, request) for voter_id in self._voters]
 
     def on_vote(self, vote: lease_message.LeaseVote, now_s: float) -> None:
-        """Take a voter's answers."""
-        ask = self._asks.get(vote.number)
-        if ask is None or vote.voter_id not in self._voters:
+        """Apply a voter's answers."""
+        request = self._requests.get(vote.number)
+        if request is None or vote.voter_id not in self._voters:
             return
-        asked_s = self._asked_s[vote.number]
-        self._note_successors(vote, ask)
+        sent_s = self._sent_s[vote.number]
+        self._note_successors(vote, request)
         for answer in vote.answers:
-            self._take(vote.voter_id, answer, asked_s, now_s)
+            self._apply(vote.voter_id, answer, sent_s, now_s)
 
     def _note_successors(
-        self, vote: lease_message.LeaseVote, ask: lease_message.LeaseRequest
+        self,
+        vote: lease_message.LeaseVote,
+        request: lease_message.LeaseRequest,
     ) -> None:
         granted = {item.resource for item in vote.answers if item.granted}
-        for item in ask.wants:
+        for item in request.wants:
             wanted = self._wanted.get(item.resource)
             if wanted is None or item.resource not in granted:
                 continue
             if wanted.fence == item.fence:
                 wanted.noted_successors[vote.voter_id] = item.successor
 
-    def _take(
+    def _apply(
         self,
         voter_id: str,
         answer: lease_message.LeaseAnswer,
-        asked_s: float,
+        sent_s: float,
         now_s: float,
     ) -> None:
         wanted = self._wanted.get(answer.resource)
         if wanted is None:
             return
-        wanted.note_known(answer.successor)
+        wanted.note_reported(answer.successor)
         if answer.fence != wanted.fence:
             return
         if not answer.granted:
@@ -280,9 +283,10 @@
             wanted.previous_fence = max(
                 wanted.previous_fence, answer.highest_fence
             )
-        # Promises count from the asking, as the answer may be late.
-        before_s = wanted.promised_s.get(voter_id, asked_s)
-        wanted.promised_s[voter_id] = max(before_s, asked_s)
+        # A promise counts from the sending of the request, since the
+        # answer may arrive late.
+        previous_s = wanted.promised_s.get(voter_id, sent_s)
+        wanted.promised_s[voter_id] = max(previous_s, sent_s)
         until_s = self._until_s(wanted)
         if wanted.since_s is None and until_s is not None:
             if until_s > now_s:
@@ -301,17 +305,17 @@
         )
         wanted.promised_s.clear()
         wanted.noted_successors.clear()
-        self._next_ask_s = 0.0
+        self._next_request_s = 0.0
 
-    def _drop_lapsed(self, now_s: float) -> None:
+    def _reset_expired(self, now_s: float) -> None:
         for wanted in self._wanted.values():
             if wanted.since_s is None:
                 continue
             until_s = self._until_s(wanted)
             if until_s is not None and until_s > now_s:
                 continue
-            # Somebody else may have held it since: it is a new holding
-            # under a new number, and its user starts over.
+            # Another host may have held the lease since. It must be
+            # acquired again under a new number, and its user starts over.
             wanted.previous_fence = wanted.fence
             wanted.fence += 1
             wanted.since_s = None
