--- a/limpetroute/peers/lease_holder.py
+++ b/limpetroute/peers/lease_holder.py
@@ -72,14 +72,14 @@
     """
 
     __slots__ = (
-        '_sent_s',
-        '_requests',
         '_config',
         '_id',
         '_last_fences',
         '_next_request_s',
         '_number',
         '_releases',
+        '_requests',
+        '_sent_s',
         '_voters',
         '_wanted',
     )
--- a/limpetroute/peers/lease_message.py
+++ b/limpetroute/peers/lease_message.py
@@ -1,21 +1,22 @@
-"""Messages between those who want leases and those who vote."""
+"""Messages between lease holders and lease voters."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseWant:
-    """A resource and the fencing number it is wanted under.
+    """A request for one lease, or its renewal.
 
     Parameters
     ----------
     resource : str
-        The resource.
+        Name of the resource.
     fence : int
-        Fencing number.
+        Fencing number under which the lease is requested.
     successor : str
-        Host that holds copies of what the lease protects and alone is
-        to take over, as `successor_text` writes it. Empty if not named.
+        Host that holds copies of what the lease protects, and the only
+        one that may take over, as `successor_text` writes it. Empty if
+        none is named.
     """
 
     resource: str
@@ -25,17 +26,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseRelease:
-    """A lease given back.
+    """A release of one lease.
 
     Parameters
     ----------
     resource : str
-        The resource.
+        Name of the resource.
     fence : int
-        The number it was held under.
+        Fencing number under which the lease was held.
     successor_id : str
-        Host that has the holder's books and alone may have the lease
-        before it would have lapsed; empty if anybody may.
+        Host that received the holder's book and is the only one that may
+        acquire the lease before it would have expired; empty if any
+        host may.
     """
 
     resource: str
@@ -50,13 +52,13 @@
     Parameters
     ----------
     number : int
-        Names the ask; its vote repeats it.
+        Number of the request; repeated in its vote.
     holder_id : str
-        The host that asks.
+        Host that sends the request.
     wants : tuple of LeaseWant
-        New leases and renewals.
+        Requested leases and renewals.
     releases : tuple of LeaseRelease
-        Leases given back.
+        Released leases.
     """
 
     number: int
@@ -67,22 +69,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseAnswer:
-    """A voter's word on one resource.
+    """A voter's answer to one `LeaseWant`.
 
     Parameters
     ----------
     resource : str
-        The resource.
+        Name of the resource.
     fence : int
-        The number it was wanted under.
+        Fencing number under which the lease was requested.
     granted : bool
-        Whether the voter promises it to the host that asked.
+        Whether the voter promises the lease to the requesting host.
     highest_fence : int
-        Highest number the voter had seen before.
+        Highest fencing number that the voter had seen before.
     holder_id : str
-        Host that the voter's promise stands for; empty if none.
+        Host to which the voter has promised the lease; empty if none.
     successor : str
-        Successor that the last holder named, as the voter remembers it.
+        Newest successor that the voter has stored.
     """
 
     resource: str
@@ -95,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseVote:
-    """A voter's answers to one ask."""
+    """A voter's answers to one `LeaseRequest`."""
 
     number: int
     voter_id: str
@@ -103,12 +105,12 @@
 
 
 def successor_text(fence: int, number: int, host_id: str) -> str:
-    """Write a successor; a higher fence or number stands for newer word."""
+    """Encode a successor; a higher fence, then number, makes it newer."""
     return f'{fence}.{number}:{host_id}'
 
 
 def successor_order(successor: str) -> tuple[int, int]:
-    """Return the place of a successor among others; the highest holds."""
+    """Return the sort key of a successor; the highest is the newest."""
     fence, _, number = successor.partition(':')[0].partition('.')
     if not fence.isdigit() or not number.isdigit():
         return (-1, -1)
@@ -116,5 +118,5 @@
 
 
 def successor_host(successor: str) -> str:
-    """Return the host of a successor."""
+    """Return the host id in an encoded successor."""
     return successor.partition(':')[2]
--- a/limpetroute/peers/lease_voter.py
+++ b/limpetroute/peers/lease_voter.py
@@ -1,4 +1,4 @@
-"""The voting side of the leases."""
+"""Votes on lease requests."""
 
 import dataclasses
 
@@ -19,16 +19,16 @@
 class LeaseVoter:
     """Promises each resource to one host at a time.
 
-    A majority of promises is a lease. The voter has no disk: after a
-    start it has forgotten what it promised, so it promises nothing
-    until everything it may have promised has lapsed.
+    A host that has promises from a majority of voters holds the lease.
+    Promises are kept in memory only. After a start, the voter therefore
+    promises nothing until all promises of its former process expired.
 
     Parameters
     ----------
     voter_id : str
-        This host.
+        Id of this host.
     config : LeaseConfig
-        Times, the same on every host.
+        Durations, the same on every host.
     started_s : float
         When the process started.
     """
@@ -38,7 +38,7 @@
         '_successors',
         '_highest',
         '_promises',
-        '_silent_until_s',
+        '_no_votes_until_s',
         '_id',
     )
 
@@ -51,7 +51,7 @@
     ) -> None:
         self._id = voter_id
         self._config = config
-        self._silent_until_s = started_s + config.duration_s
+        self._no_votes_until_s = started_s + config.duration_s
         self._promises: dict[str, _Promise] = {}
         self._highest: dict[str, int] = {}
         self._successors: dict[str, str] = {}
@@ -60,23 +60,24 @@
         return f'{type(self).__name__}(voter_id={self._id!r})'
 
     def holder(self, resource: str, now_s: float) -> str | None:
-        """Return whom the resource is promised to now."""
+        """Return the host that has a promise for a resource now, or None."""
         promise = self._promises.get(resource)
         if promise is None or promise.until_s <= now_s:
             return None
         return promise.holder_id
 
     def vote(
-        self, ask: lease_message.LeaseRequest, now_s: float
+        self, request: lease_message.LeaseRequest, now_s: float
     ) -> lease_message.LeaseVote:
-        """Answer an ask."""
-        for item in ask.releases:
-            self._release(ask.holder_id, item)
+        """Answer a lease request."""
+        for item in request.releases:
+            self._release(request.holder_id, item)
         answers = [
-            self._answer(ask.holder_id, item, now_s) for item in ask.wants
+            self._answer(request.holder_id, item, now_s)
+            for item in request.wants
         ]
         return lease_message.LeaseVote(
-            number=ask.number, voter_id=self._id, answers=tuple(answers)
+            number=request.number, voter_id=self._id, answers=tuple(answers)
         )
 
     def _release(
@@ -102,8 +103,8 @@
         if granted:
             promise = self._promises.get(item.resource)
             if promise is not None and item.fence == highest:
-                # The first answer may be lost: a renewal says again who
-                # was there before.
+                # The first answer may have been lost, so the answer to a
+                # renewal repeats the fencing number of the former holder.
                 highest = promise.previous_fence
             successor = max(
                 successor, item.successor, key=lease_message.successor_order
@@ -134,12 +135,12 @@
         standing: str | None,
         now_s: float,
     ) -> bool:
-        if now_s < self._silent_until_s:
+        if now_s < self._no_votes_until_s:
             return False
         if standing is not None and standing != holder_id:
             return False
         if item.fence > highest:
             return True
-        # A renewal repeats its number; an old ask of a former holder
-        # that arrives late does not get the resource back with it.
+        # A renewal repeats its number. An old request of a former holder
+        # that arrives late must not acquire the lease again.
         return standing == holder_id and item.fence == highest
--- a/limpetroute/peers/member_claim.py
+++ b/limpetroute/peers/member_claim.py
@@ -1,4 +1,4 @@
-"""One claim about one host, as it travels between hosts."""
+"""A claim about the state of one host, exchanged between hosts."""
 
 import dataclasses
 
@@ -7,25 +7,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MemberClaim:
-    """A claim about a host.
+    """A claim about the state of one host.
 
     Parameters
     ----------
     host_id : str
-        The host it is about.
+        Host that the claim describes.
     url : str
         Its internal address.
     zone : str
         Its availability zone.
     incarnation : int
-        Grows with each start of the host, so that a restarted host is
-        not taken for its former self.
+        Grows with each start of the host, which distinguishes a
+        restarted host from its former process.
     refutation : int
-        Grows each time the host contradicts a claim about itself.
+        Grows each time the host refutes a claim about itself.
     status : MemberStatus
-        What it is claimed to be.
+        Claimed liveness of the host.
     leaving : bool
-        Whether the host said that it takes no new work.
+        Whether the host has announced that it takes no new work.
     """
 
     host_id: str
@@ -38,13 +38,13 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Place among claims about one host; the highest one holds."""
+        """Sort key of claims about one host; the highest one applies."""
         rank = member_status.RANK[self.status]
         return (self.incarnation, self.refutation, rank)
 
     @property
     def takes_work(self) -> bool:
-        """Whether the host may be given something new to hold."""
+        """Whether the host may be assigned new work."""
         return (
             self.status is member_status.MemberStatus.ALIVE
             and not self.leaving
--- a/limpetroute/peers/member_codec.py
+++ b/limpetroute/peers/member_codec.py
@@ -38,7 +38,7 @@
     Raises
     ------
     ValueError
-        If it is not such a message; the text quotes its start.
+        If the data is malformed; the message quotes its start.
     """
     try:
         body = json.loads(data)
--- a/limpetroute/peers/member_message.py
+++ b/limpetroute/peers/member_message.py
@@ -7,7 +7,7 @@
 
 
 class MessageKind(enum.StrEnum):
-    """What a message asks or answers."""
+    """Kind of a membership message."""
 
     PING = 'ping'
     ACK = 'ack'
@@ -17,28 +17,28 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MemberMessage:
-    """A probe or its answer, with claims and values on its back.
+    """A probe or its reply, which also carries claims and values.
 
     Parameters
     ----------
     kind : MessageKind
-        What it is.
+        Kind of the message.
     sequence : int
-        Number of the probe it belongs to.
+        Sequence number of the probe that the message belongs to.
     sender : MemberClaim
         The sender's claim about itself.
     subject_id : str
         For ``PING_FOR`` and ``ACK_FOR``: the host that is probed.
     claims : tuple of MemberClaim
-        News, of bounded number.
+        Claims that changed recently; their number is bounded.
     page_after : str or None
-        Asks for a page of all claims, from this host id on.
+        Requests a page of all claims, after this host id.
     page_next : str or None
-        Where the next page starts; None at the end.
+        Host id after which the next page starts; None at the end.
     values : tuple of (str, int)
-        Highest numbers known, for instance a manifest's.
+        Highest numbers received by name, such as a manifest's number.
     own_values : tuple of (str, int)
-        Numbers in force at the sender itself.
+        Numbers in effect at the sender.
     """
 
     kind: MessageKind
--- a/limpetroute/peers/member_status.py
+++ b/limpetroute/peers/member_status.py
@@ -1,10 +1,10 @@
-"""What a host is taken to be by another host."""
+"""Liveness of a host as judged by the other hosts."""
 
 import enum
 
 
 class MemberStatus(enum.StrEnum):
-    """Liveness of a host; a later one overrides an earlier one."""
+    """Liveness of a host; a later member overrides an earlier one."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
--- a/limpetroute/peers/member_view.py
+++ b/limpetroute/peers/member_view.py
@@ -1,4 +1,4 @@
-"""What one host believes of all hosts at a moment."""
+"""Membership as seen by one host at one moment."""
 
 import dataclasses
 
@@ -8,16 +8,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MemberView:
-    """A host's picture of the others, and how far it can be trusted.
+    """Claims about all hosts, and how recently each host was heard from.
 
     Parameters
     ----------
     claims : tuple of MemberClaim
         Newest claim about each host, this one included.
     heard_age_s : dict of str to float
-        Age of the newest message that came from each host itself.
+        Age of the newest message received from each host itself.
     recently_s : float
-        Age up to which a host counts as heard.
+        Highest age at which a host counts as recently heard from.
     """
 
     claims: tuple[member_claim.MemberClaim, ...]
@@ -26,12 +26,12 @@
 
     @property
     def working(self) -> tuple[member_claim.MemberClaim, ...]:
-        """Hosts that may be given something new to hold."""
+        """Hosts that may be assigned new work."""
         return tuple(item for item in self.claims if item.takes_work)
 
     @property
     def unsure(self) -> tuple[str, ...]:
-        """Hosts that may be alive or dead: suspects."""
+        """Suspects, which may be alive or dead."""
         suspect = member_status.MemberStatus.SUSPECT
         return tuple(
             item.host_id for item in self.claims if item.status is suspect
@@ -39,7 +39,7 @@
 
     @property
     def gone(self) -> tuple[str, ...]:
-        """Hosts taken for dead or departed."""
+        """Hosts considered dead or departed."""
         gone = (
             member_status.MemberStatus.DEAD,
             member_status.MemberStatus.LEFT,
@@ -50,7 +50,7 @@
 
     @property
     def heard(self) -> tuple[str, ...]:
-        """Hosts whose own words arrived recently."""
+        """Hosts from which a message was received recently."""
         return tuple(
             host_id
             for host_id, age_s in self.heard_age_s.items()
@@ -58,7 +58,7 @@
         )
 
     def find(self, host_id: str) -> member_claim.MemberClaim | None:
-        """Return the newest claim about a host."""
+        """Return the newest claim about a host, or None."""
         for item in self.claims:
             if item.host_id == host_id:
                 return item
--- a/limpetroute/peers/membership_config.py
+++ b/limpetroute/peers/membership_config.py
@@ -1,39 +1,41 @@
-"""Periods and bounds of the membership protocol."""
+"""Periods and limits of the membership protocol."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MembershipConfig:
-    """Periods and bounds.
+    """Periods and limits of the membership protocol.
 
     Parameters
     ----------
     probe_period_s : float
         Time between two probes that a host starts.
     probe_timeout_s : float
-        Silence after which others are asked to probe; the probe fails
-        one more such time later.
+        Time without a reply after which helpers are asked to probe; the
+        probe fails after twice this time.
     helpers : int
-        Hosts asked to probe for us.
+        Number of hosts asked to probe on behalf of this one.
     suspicion_s : float
-        Time a suspect has to contradict before it is taken for dead.
+        Time in which a suspect can refute the suspicion before it is
+        considered dead.
     rejoin_period_s : float
-        Time between two probes of seeds and of hosts taken for dead:
-        this is what ends a partition in which each side has given the
-        other up.
+        Time between two probes of seeds and of hosts considered dead.
+        These probes end a partition after which each side considers the
+        other dead.
     forget_s : float
-        Time a dead or departed host is remembered, so that an old
-        claim does not bring it back.
+        Time for which a dead or departed host is kept, so that an old
+        claim does not make it alive again.
     max_claims : int
-        Most pieces of news in one message.
+        Most recently changed claims in one message.
     page_claims : int
-        Most claims in a page asked for.
+        Most claims in a requested page.
     retransmits : int
-        Each piece of news is sent this many times log2 of the hosts.
+        Factor for how often a changed claim is sent: this many times
+        1 plus log2 of the number of hosts.
     frozen_s : float
-        A gap between two ticks past this means that this process was
-        not running: its open probes say nothing about the others.
+        A longer gap between two ticks means that this process was not
+        running, so its open probes are no evidence about other hosts.
     """
 
     probe_period_s: float = 1.0
--- a/limpetroute/peers/reaper.py
+++ b/limpetroute/peers/reaper.py
@@ -1,4 +1,4 @@
-"""Finds streams that a runner writes and no host claims."""
+"""Finds runs at a runner that no host claims."""
 
 import dataclasses
 import typing
@@ -13,13 +13,13 @@
 
 
 class Reaper:
-    """The last guard against engine memory that nobody waits for.
+    """Finds orphaned runs, which occupy engine memory without a caller.
 
-    It needs no record: a run that the runner itself reports, and that
-    no live host claims for ``grace_s``, is ended. A claim by any host
-    starts the time anew, and so does a host that may hold the claim
-    and cannot be asked: a request that is only slow, or is being taken
-    over, is left alone.
+    It works without a record of the request: a run that the runner
+    itself reports, and that no live host claims for ``grace_s``, is to
+    be ended. The time restarts with each claim, and whenever a host that
+    may have a claim cannot be asked. A request that is only slow, or is
+    being taken over, is therefore left alone.
 
     Parameters
     ----------
@@ -54,29 +54,29 @@
         Parameters
         ----------
         runner_id, incarnation : str, int
-            The runner, and its start.
+            The runner and its incarnation.
         runs : iterable of str
-            Runs it reports.
+            Runs that the runner reports.
         claimed : container of str
-            Runs that a host claimed just now.
+            Runs that some host claims now.
         unsure : bool
             Whether a host that may claim runs could not be asked.
         now_s : float
             Now.
         """
         reported = set(runs)
-        for place in list(self._unclaimed):
-            if place[0] == runner_id and place[1] not in reported:
-                del self._unclaimed[place]
+        for key in list(self._unclaimed):
+            if key[0] == runner_id and key[1] not in reported:
+                del self._unclaimed[key]
         due = []
         for run_id in sorted(reported):
-            place = (runner_id, run_id)
+            key = (runner_id, run_id)
             if unsure or run_id in claimed:
-                self._unclaimed.pop(place, None)
+                self._unclaimed.pop(key, None)
                 continue
-            seen = self._unclaimed.get(place)
+            seen = self._unclaimed.get(key)
             if seen is None or seen.incarnation != incarnation:
-                self._unclaimed[place] = _Unclaimed(
+                self._unclaimed[key] = _Unclaimed(
                     since_s=now_s, incarnation=incarnation
                 )
                 continue
@@ -85,7 +85,7 @@
         return due
 
     def forget(self, runner_id: str) -> None:
-        """Forget a runner that this host does not act for any more."""
-        for place in list(self._unclaimed):
-            if place[0] == runner_id:
-                del self._unclaimed[place]
+        """Drop the state of a runner whose lease this host no longer holds."""
+        for key in list(self._unclaimed):
+            if key[0] == runner_id:
+                del self._unclaimed[key]
--- a/limpetroute/peers/record_copy.py
+++ b/limpetroute/peers/record_copy.py
@@ -1,4 +1,4 @@
-"""A request record on its way to the host that holds its copy."""
+"""Messages that copy request records to another host."""
 
 import dataclasses
 import typing
@@ -8,14 +8,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RecordFacts:
-    """What of a record never changes.
+    """The part of a record that never changes.
 
     Parameters
     ----------
     request_id, team, key, body_digest, run_id : str
         As in `RequestRecord`.
     request : mapping
-        The request itself, enough to go on with it elsewhere.
+        The request, with all that another host needs to continue it.
     """
 
     request_id: str
@@ -28,26 +28,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RecordProgress:
-    """What of a record changes.
+    """The part of a record that changes.
 
     Parameters
     ----------
     request_id : str
-        The request.
+        Id of the request.
     from_index : int
-        Index of the first event carried.
+        Index of the first event in ``events``.
     events : tuple of str
-        Events from there on.
+        Events from ``from_index`` on.
     end : RunEnd or None
-        The end, once there is one.
+        End of the run, or None while it goes on.
     attachment_number : int
         Number of the newest attachment.
     delivered_index : int
-        Last event known to be handed to the caller.
+        Index of the last event known to be delivered to the caller.
     end_delivered, closing : bool
-        Whether the end was, or may have been, told.
+        Whether the end was delivered, or may have been delivered.
     runner : mapping
-        The try in progress: where it runs and under which name.
+        The attempt in progress: its runner and run id.
     """
 
     request_id: str
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CopyItem:
-    """News of one record; ``facts`` only the first time."""
+    """Update of one record; has ``facts`` only in the first update."""
 
     progress: RecordProgress
     facts: RecordFacts | None = None
@@ -73,16 +73,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CopyBatch:
-    """News of many records of one owner.
+    """Updates of many records of one owner.
 
     Parameters
     ----------
     owner : str
-        The owner and its incarnation.
+        Name of the owner and its incarnation.
     items : tuple of CopyItem
-        News.
+        Updates.
     dropped : tuple of str
-        Requests whose copies are needed no more.
+        Ids of requests whose copies are no longer needed.
     """
 
     owner: str
@@ -92,15 +92,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CopyReply:
-    """The copy holder's word.
+    """Reply of the host that holds the copies.
 
     Parameters
     ----------
     taken : bool
-        False once the owner's records were taken over: it must not
-        deliver any more.
+        Whether the batch was accepted. False after the owner's records
+        were taken over; the owner must then stop delivering.
     missing : tuple of str
-        Requests that must be sent whole.
+        Ids of requests whose records must be sent whole.
     """
 
     taken: bool
--- a/limpetroute/peers/rendezvous.py
+++ b/limpetroute/peers/rendezvous.py
@@ -1,4 +1,4 @@
-"""Picks hosts for a name so that few names move when hosts change."""
+"""Assigns names to hosts by rendezvous hashing."""
 
 import typing
 
@@ -8,17 +8,17 @@
 
 
 def ranked(name: str, hosts: typing.Iterable[str]) -> list[str]:
-    """Order hosts for a name by highest random weight.
+    """Order hosts for a name by rendezvous (highest random weight) hashing.
 
-    A host that goes moves only the names it was first for, each to the
-    name's next host; every process orders alike without asking.
+    When a host goes, only the names for which it was first move, each to
+    its next host. All processes compute the same order on their own.
 
     Parameters
     ----------
     name : str
-        What is to be placed.
+        Name to assign to a host.
     hosts : iterable of str
-        The hosts there are.
+        Available hosts.
     """
     return sorted(hosts, key=lambda host: (-_weight(name, host), host))
 
--- a/limpetroute/peers/request_record.py
+++ b/limpetroute/peers/request_record.py
@@ -1,4 +1,4 @@
-"""The record of one request: its events and who may receive them."""
+"""The record of a request: its events and its current connection."""
 
 import dataclasses
 import typing
@@ -13,9 +13,10 @@
     Parameters
     ----------
     number : int
-        Grows with each attachment; only the newest receives events.
+        Number of the attachment; only the one with the highest number
+        receives events.
     next_index : int
-        First event it is to receive.
+        Index of the first event to send.
     """
 
     number: int
@@ -28,15 +29,15 @@
     Parameters
     ----------
     request_id : str
-        Name told to the caller; cannot be guessed.
+        Id given to the caller; cannot be guessed.
     team : str
         Team that owns the request.
     key : str
-        The caller's idempotency key, or the request id.
+        The caller's idempotency key; the request id if it sent none.
     body_digest : str
-        Digest of the body that the key stands for.
+        Digest of the body that was sent with the key.
     run_id : str
-        Name of the run at the runners.
+        Id of the run at the runners.
     """
 
     __slots__ = (
@@ -74,11 +75,11 @@
         self.attachment_number = 0
         self.delivered_index = -1
         self.end_delivered = False
-        # Set before the end is written to a caller: another host that
-        # takes over must not tell the end a second time.
+        # Set before the end is written to a caller, so that a host that
+        # takes over does not deliver the end a second time.
         self.closing = False
-        # Set by a host that took over and cannot know how many of the
-        # events reached the caller.
+        # Set when a host takes over, since the number of events that
+        # reached the caller is then unknown.
         self.delivery_unsure = False
         self.may_deliver: typing.Callable[[], bool] = _always
 
@@ -90,17 +91,18 @@
 
     @property
     def text(self) -> str:
-        """All text so far."""
+        """Text of all events so far."""
         return ''.join(self.events)
 
     def attach(self, *, after_index: int | None = None) -> Attachment:
-        """Make a new attachment, which fences all older ones.
+        """Create an attachment, which invalidates all older ones.
 
         Parameters
         ----------
         after_index : int or None
-            Last event the caller has, from its ``Last-Event-ID``; None
-            for a blind repeat, which gets what was not yet delivered.
+            Index of the last event the caller has, from its
+            ``Last-Event-ID``; None for a repeat without it, which
+            receives the events that were not yet delivered.
 
         Raises
         ------
@@ -120,8 +122,9 @@
         """Whether the attachment may still receive events."""
         if attachment.number != self.attachment_number:
             return False
-        # A host that was frozen or cut off may have been replaced, and
-        # the caller reads on elsewhere; its lease tells it in time.
+        # A host that froze or was cut off may have been replaced, and the
+        # caller may be connected elsewhere. The lease of such a host has
+        # expired, so this check fails.
         return self.may_deliver()
 
     def append(self, text: str) -> int:
@@ -138,20 +141,20 @@
         return len(self.events) - 1
 
     def finish(self, end: run_end.RunEnd) -> bool:
-        """Set the end; only the first one counts."""
+        """Set the end and return True, unless an end is already set."""
         if self.end is not None:
             return False
         self.end = end
         return True
 
     def mark_delivered(self, attachment: Attachment, index: int) -> None:
-        """Note the last event handed to the newest attachment."""
+        """Record the last event delivered to the newest attachment."""
         if not self.is_current(attachment):
             return
         self.delivered_index = max(self.delivered_index, index)
 
     def mark_end_delivered(self, attachment: Attachment) -> None:
-        """Note that the newest attachment was told the end."""
+        """Record that the end was delivered to the newest attachment."""
         if self.is_current(attachment):
             self.end_delivered = True
 
--- a/limpetroute/peers/run_end.py
+++ b/limpetroute/peers/run_end.py
@@ -1,11 +1,11 @@
-"""How a run ended, as kept in its record."""
+"""The end of a run, as kept in the request record."""
 
 import dataclasses
 import enum
 
 
 class EndKind(enum.StrEnum):
-    """Outcome a caller is told."""
+    """Outcome of a run, as reported to the caller."""
 
     COMPLETED = 'completed'
     NOT_RUN = 'not_run'
@@ -24,9 +24,9 @@
     finish_reason : str
         ``stop`` or ``length`` for a completed run, else the reason.
     prompt_tokens, completion_tokens : int
-        Usage.
+        Token usage.
     retry_after_s : float or None
-        When coming back is expected to succeed.
+        Time after which a retry is expected to succeed.
     """
 
     kind: EndKind
--- a/limpetroute/peers/runner_report.py
+++ b/limpetroute/peers/runner_report.py
@@ -1,26 +1,27 @@
-"""A runner's report as the grants need it."""
+"""The part of a runner's report that grants are based on."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunnerReport:
-    """What a decode runner said it holds.
+    """Capacity and runs that a decode runner reported.
 
     Parameters
     ----------
     runner_id, zone : str
         The runner and its availability zone.
     incarnation, sequence : int
-        Order of the reports.
+        Start of the runner, and the report's number since then.
     measured_s : float
-        Earliest moment it can have been measured, on this host's clock.
+        Earliest time the report can have been measured, on this host's
+        clock.
     slots : int
-        Requests the runner holds at a time.
+        Number of requests that the runner can hold at a time.
     kv_capacity_bytes, kv_used_bytes : int
-        KV memory in all and in use.
+        Total KV memory, and KV memory in use.
     runs : frozenset of str
-        Runs that hold a slot.
+        Ids of the runs that occupy a slot.
     leaving : bool
         Whether the runner takes no new work.
     """
@@ -38,5 +39,5 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Place among the reports of one runner."""
+        """Sort key of the reports of one runner; the highest is the newest."""
         return (self.incarnation, self.sequence)
--- a/limpetroute/peers/zone_cost.py
+++ b/limpetroute/peers/zone_cost.py
@@ -1,4 +1,4 @@
-"""What it costs to hold something in another availability zone."""
+"""Network distance between availability zones."""
 
 import typing
 
@@ -14,8 +14,8 @@
     Parameters
     ----------
     round_trips_ms : mapping of (str, str) to float
-        Time between two zones, in either order; unknown pairs count as
-        far away.
+        Round-trip time of each pair of zones, in either order. A pair
+        without a time counts as ``UNKNOWN_MS`` apart.
     """
 
     __slots__ = ('_round_trips_ms',)
@@ -29,7 +29,7 @@
         return f'{type(self).__name__}({self._round_trips_ms!r})'
 
     def between(self, one: str, two: str) -> float:
-        """Return the round-trip time in milliseconds."""
+        """Return the round-trip time between two zones in milliseconds."""
         if one == two:
             return LOCAL_MS
         known = self._round_trips_ms
@@ -43,11 +43,12 @@
     hosts: typing.Sequence[tuple[str, str]],
     costs: ZoneCosts,
 ) -> list[str]:
-    """Order hosts as holders of this host's copies.
+    """Order hosts by preference as holder of this host's copies.
 
-    Another zone goes first, for a zone may fail as a whole; of the
-    other zones the nearest, as each first word waits for its copy; the
-    own zone is the last resort.
+    Hosts in other zones come first, since a zone may fail as a whole.
+    Nearer zones come before farther ones, because the first token of each
+    answer is sent only after its copy is confirmed. Hosts in this host's
+    own zone come last.
 
     Parameters
     ----------
@@ -57,9 +58,9 @@
         Other hosts with their zones, in order of preference where
         their zones are equally good.
     costs : ZoneCosts
-        Times between zones.
+        Round-trip times between zones.
     """
-    place = {host_id: number for number, (host_id, _) in enumerate(hosts)}
+    preference = {host_id: number for number, (host_id, _) in enumerate(hosts)}
     return [
         host_id
         for host_id, _ in sorted(
@@ -67,7 +68,7 @@
             key=lambda item: (
                 item[1] == zone,
                 costs.between(zone, item[1]),
-                place[item[0]],
+                preference[item[0]],
             ),
         )
     ]
