--- a/limpetroute/peers/member_view.py
+++ b/limpetroute/peers/member_view.py
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MemberView:
-    """Claims about all hosts, and how recently each host was heard from.
+    """Claims about all hosts, and when each host last sent a message.
 
     Parameters
     ----------
@@ -17,7 +17,7 @@
     heard_age_s : dict of str to float
         Age of the newest message received from each host itself.
     recently_s : float
-        Highest age at which a host counts as recently heard from.
+        Highest age at which a host counts as recently seen.
     """
 
     claims: tuple[member_claim.MemberClaim, ...]
@@ -49,7 +49,7 @@
         )
 
     @property
-    def heard(self) -> tuple[str, ...]:
+    def recently_seen(self) -> tuple[str, ...]:
         """Hosts from which a message was received recently."""
         return tuple(
             host_id
--- a/limpetroute/peers/membership.py
+++ b/limpetroute/peers/membership.py
@@ -1,12 +1,14 @@
-"""Which hosts are there: a probing protocol without a centre.
+"""Decentralized membership and failure detection, similar to SWIM.
 
-Each host probes one other in a period, in a shuffled round. A probe
-unanswered is repeated through helpers, then the host is suspect, and
-dead only when it did not contradict for a time. News rides on probes.
-The cost of a host therefore does not grow with their number, only the
-time that news needs does, with its logarithm.
+In each period a host probes one other host, in a shuffled round. If
+the probe is not answered, helpers repeat it. If they get no reply
+either, the host becomes suspect, and it becomes dead unless it refutes
+the suspicion in time. Changed claims are sent along with the probes.
+The load of a host therefore does not grow with the number of hosts; the
+time until a change reaches all hosts grows with its logarithm.
 
-The class is pure: messages and ``now_s`` come in, messages go out.
+The class does no input or output: it takes messages and ``now_s`` and
+returns the messages to send.
 """
 
 import dataclasses
@@ -33,7 +35,7 @@
 class _Member:
     claim: member_claim.MemberClaim
     changed_s: float
-    heard_s: float | None = None
+    last_seen_s: float | None = None
     own_values: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
@@ -42,36 +44,36 @@
     host_id: str
     incarnation: int
     sent_s: float
-    helped: bool = False
+    sent_to_helpers: bool = False
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Relayed:
+class _RelayedProbe:
     sequence: int
-    asker: member_claim.MemberClaim
+    requester: member_claim.MemberClaim
     subject_id: str
     sent_s: float
 
 
 class Membership:
-    """One host's part of the protocol.
+    """The state of the membership protocol at one host.
 
     Parameters
     ----------
     claim : MemberClaim
-        This host.
+        Claim of this host about itself.
     seeds : sequence of str
-        Addresses to start from, from the settings.
+        Addresses of the first hosts to probe, from the settings.
     config : MembershipConfig
-        Periods and bounds.
+        Periods and limits of the protocol.
     rng : Random
-        Seeded generator.
+        Seeded random number generator.
     """
 
     __slots__ = (
         '_config',
+        '_last_tick_s',
         '_members',
-        '_news',
         '_next_page',
         '_next_probe_s',
         '_next_rejoin_s',
@@ -81,8 +83,8 @@
         '_round',
         '_seeds',
         '_self',
+        '_send_counts',
         '_sequence',
-        '_ticked_s',
         '_values',
         'own_values',
     )
@@ -100,14 +102,14 @@
         self._config = config
         self._rng = rng
         self._members: dict[str, _Member] = {}
-        self._news: dict[str, int] = {claim.host_id: 0}
+        self._send_counts: dict[str, int] = {claim.host_id: 0}
         self._probes: dict[int, _Probe] = {}
-        self._relayed: dict[int, _Relayed] = {}
+        self._relayed: dict[int, _RelayedProbe] = {}
         self._round: list[str] = []
         self._sequence = 0
         self._next_probe_s = -math.inf
         self._next_rejoin_s = -math.inf
-        self._ticked_s: float | None = None
+        self._last_tick_s: float | None = None
         self._next_page: str | None = ''
         self._values: dict[str, int] = {}
         self.own_values: dict[str, int] = {}
@@ -120,42 +122,42 @@
 
     @property
     def claim(self) -> member_claim.MemberClaim:
-        """What the host claims of itself."""
+        """Claim of this host about itself."""
         return self._self
 
     @property
     def values(self) -> dict[str, int]:
-        """Highest numbers heard of, by name."""
+        """Highest numbers received from any host, by name."""
         return dict(self._values)
 
     def offer_value(self, name: str, number: int) -> None:
-        """Take a number that this host has in force."""
+        """Publish a number that is in effect at this host."""
         self.own_values[name] = max(number, self.own_values.get(name, number))
         self._merge_values([(name, number)])
 
     def values_of(self, host_id: str) -> dict[str, int]:
-        """Numbers that a host itself said it has in force."""
+        """Return the numbers that a host reported as in effect there."""
         member = self._members.get(host_id)
         return dict(member.own_values) if member else {}
 
     def view(self, now_s: float) -> member_view.MemberView:
-        """Return what this host believes now."""
-        heard = {self._self.host_id: 0.0}
+        """Return the membership as seen by this host now."""
+        last_seen_age_s = {self._self.host_id: 0.0}
         claims = [self._self]
         for host_id, member in self._members.items():
             claims.append(member.claim)
-            if member.heard_s is not None:
-                heard[host_id] = now_s - member.heard_s
+            if member.last_seen_s is not None:
+                last_seen_age_s[host_id] = now_s - member.last_seen_s
         count = max(1, len(claims))
         period_s = self._config.probe_period_s
         return member_view.MemberView(
             claims=tuple(claims),
-            heard_age_s=heard,
+            heard_age_s=last_seen_age_s,
             recently_s=period_s * count + self._config.suspicion_s,
         )
 
     def tick(self, now_s: float) -> list[member_message.Send]:
-        """Do what is due; call it a few times in each period."""
+        """Do the periodic work; call it several times per probe period."""
         self._drop_probes_if_frozen(now_s)
         out: list[member_message.Send] = []
         out += self._check_probes(now_s)
@@ -171,12 +173,12 @@
     def receive(
         self, message: member_message.MemberMessage, now_s: float
     ) -> list[member_message.Send]:
-        """Take a message and return the messages it causes."""
+        """Process a message and return the messages to send."""
         self._merge_values(message.values)
-        self._take_claim(message.sender, now_s)
-        self._hear(message, now_s)
+        self._apply_claim(message.sender, now_s)
+        self._note_seen(message, now_s)
         for claim in message.claims:
-            self._take_claim(claim, now_s)
+            self._apply_claim(claim, now_s)
         if message.kind is _Kind.PING:
             return [self._ack(message)]
         if message.kind is _Kind.PING_FOR:
@@ -188,11 +190,11 @@
         return []
 
     def start_leaving(self) -> None:
-        """Say from now on that this host takes no new work."""
+        """Announce from now on that this host takes no new work."""
         self._change_self(leaving=True)
 
     def leave(self, now_s: float) -> list[member_message.Send]:
-        """Say goodbye to a few hosts, which pass it on."""
+        """Notify a few hosts, which pass on that this host has left."""
         self._change_self(leaving=True, status=_LEFT)
         names = self._names((_ALIVE, _SUSPECT))
         self._rng.shuffle(names)
@@ -205,12 +207,13 @@
     # -- probing
 
     def _drop_probes_if_frozen(self, now_s: float) -> None:
-        # A process that was stopped and wakes finds all its probes
-        # overdue, though every other host answered: without this guard
-        # it would suspect them all. The gap between two ticks shows it.
-        before_s = self._ticked_s
-        self._ticked_s = now_s
-        if before_s is None or now_s - before_s <= self._config.frozen_s:
+        # When a process continues after it was stopped, all its probes
+        # are overdue although the other hosts answered. Without this
+        # guard it would suspect them all. A long gap between two ticks
+        # shows that the process was stopped.
+        last_tick_s = self._last_tick_s
+        self._last_tick_s = now_s
+        if last_tick_s is None or now_s - last_tick_s <= self._config.frozen_s:
             return
         self._probes.clear()
         self._relayed.clear()
@@ -225,8 +228,8 @@
             age_s = now_s - probe.sent_s
             if age_s < timeout_s:
                 continue
-            if not probe.helped:
-                probe.helped = True
+            if not probe.sent_to_helpers:
+                probe.sent_to_helpers = True
                 out += self._ask_helpers(sequence, probe)
                 continue
             if age_s < 2 * timeout_s:
@@ -274,7 +277,7 @@
                 continue
             if status in (_DEAD, _LEFT) and age_s >= config.forget_s:
                 del self._members[host_id]
-                self._news.pop(host_id, None)
+                self._send_counts.pop(host_id, None)
 
     def _probe_next(self, now_s: float) -> list[member_message.Send]:
         while True:
@@ -299,14 +302,15 @@
             member.claim.url: member.claim.status
             for member in self._members.values()
         }
-        lost = [url for url, status in known.items() if status is _DEAD]
-        lost += [url for url in self._seeds if url not in known]
-        lost.sort()
-        self._rng.shuffle(lost)
-        everyone = self._names((_ALIVE,))
-        # With nobody known yet, all seeds at once: the start is short.
-        count = 2 if everyone else len(lost)
-        return [self._ping(url) for url in lost[:count]]
+        targets = [url for url, status in known.items() if status is _DEAD]
+        targets += [url for url in self._seeds if url not in known]
+        targets.sort()
+        self._rng.shuffle(targets)
+        alive = self._names((_ALIVE,))
+        # While no other host is alive, probe all seeds at once to join
+        # quickly.
+        count = 2 if alive else len(targets)
+        return [self._ping(url) for url in targets[:count]]
 
     # -- messages
 
@@ -316,15 +320,16 @@
             _Kind.PING,
             self._sequence,
             page_after=self._next_page,
-            extra=self._doubts(url),
+            extra=self._claims_against(url),
         )
         return member_message.Send(url=url, message=message)
 
-    def _doubts(self, url: str) -> list[member_claim.MemberClaim]:
-        """Return what is held against the host at an address.
+    def _claims_against(self, url: str) -> list[member_claim.MemberClaim]:
+        """Return the claims that the host at an address is not alive.
 
-        A host taken for dead can contradict only what it is told;
-        otherwise it would stay dead here after a partition or a freeze.
+        A host can refute only claims that it receives. Without them, a
+        host considered dead would stay dead here after a partition or a
+        freeze.
         """
         return [
             member.claim
@@ -333,11 +338,11 @@
         ]
 
     def _ack(self, ping: member_message.MemberMessage) -> member_message.Send:
-        page = self._doubts(ping.sender.url)
+        page = self._claims_against(ping.sender.url)
         page_next = None
         if ping.page_after is not None:
-            more, page_next = self._page(ping.page_after)
-            page += more
+            claims, page_next = self._page(ping.page_after)
+            page += claims
         message = self._message(
             _Kind.ACK, ping.sequence, extra=page, page_next=page_next
         )
@@ -365,9 +370,9 @@
         if subject is None:
             return []
         send = self._ping(subject.claim.url)
-        self._relayed[send.message.sequence] = _Relayed(
+        self._relayed[send.message.sequence] = _RelayedProbe(
             sequence=message.sequence,
-            asker=message.sender,
+            requester=message.sender,
             subject_id=message.subject_id,
             sent_s=now_s,
         )
@@ -388,7 +393,7 @@
             subject_id=relayed.subject_id,
             extra=[message.sender],
         )
-        return [member_message.Send(url=relayed.asker.url, message=answer)]
+        return [member_message.Send(url=relayed.requester.url, message=answer)]
 
     def _message(
         self,
@@ -405,31 +410,31 @@
             sequence=sequence,
             sender=self._self,
             subject_id=subject_id,
-            claims=tuple([*extra, *self._pick_news()]),
+            claims=tuple([*extra, *self._pick_changed()]),
             page_after=page_after,
             page_next=page_next,
             values=tuple(self._values.items()),
             own_values=tuple(self.own_values.items()),
         )
 
-    def _pick_news(self) -> list[member_claim.MemberClaim]:
-        """Take the news sent least often so far, up to the bound."""
+    def _pick_changed(self) -> list[member_claim.MemberClaim]:
+        """Return the changed claims sent least often, up to the limit."""
         hosts = len(self._members) + 1
         limit = self._config.retransmits * (1 + int(math.log2(hosts)))
-        names = sorted(self._news, key=self._news.__getitem__)
+        names = sorted(self._send_counts, key=self._send_counts.__getitem__)
         picked = []
         for name in names[: self._config.max_claims]:
-            self._news[name] += 1
-            if self._news[name] > limit:
-                del self._news[name]
+            self._send_counts[name] += 1
+            if self._send_counts[name] > limit:
+                del self._send_counts[name]
             if name == self._self.host_id:
                 continue
             picked.append(self._members[name].claim)
         return picked
 
-    # -- what is believed
+    # -- claims
 
-    def _hear(
+    def _note_seen(
         self, message: member_message.MemberMessage, now_s: float
     ) -> None:
         member = self._members.get(message.sender.host_id)
@@ -437,35 +442,36 @@
             return
         if member.claim.incarnation != message.sender.incarnation:
             return
-        member.heard_s = now_s
+        member.last_seen_s = now_s
         member.own_values.update(message.own_values)
 
-    def _take_claim(
+    def _apply_claim(
         self, claim: member_claim.MemberClaim, now_s: float
     ) -> None:
         if claim.host_id == self._self.host_id:
-            self._contradict(claim)
+            self._refute(claim)
             return
         member = self._members.get(claim.host_id)
         if member is None:
             member = _Member(claim=claim, changed_s=now_s)
             self._members[claim.host_id] = member
-            self._news[claim.host_id] = 0
+            self._send_counts[claim.host_id] = 0
             return
         if claim.order <= member.claim.order:
             return
         if claim.incarnation > member.claim.incarnation:
-            member.heard_s = None
+            member.last_seen_s = None
             member.own_values = {}
         self._store(member, claim, now_s)
 
-    def _contradict(self, claim: member_claim.MemberClaim) -> None:
+    def _refute(self, claim: member_claim.MemberClaim) -> None:
         mine = self._self
         if mine.status is _LEFT:
             return
         if claim.incarnation > mine.incarnation:
-            # A former self whose clock was ahead; go past it, or the
-            # others would take every word of ours for an old one.
+            # The former process of this host had a clock that was ahead.
+            # A higher incarnation is needed, or other hosts would discard
+            # every claim of this process as outdated.
             self._change_self(incarnation=claim.incarnation + 1)
             return
         if claim.order <= mine.order:
@@ -476,7 +482,7 @@
         changes.setdefault('refutation', self._self.refutation)
         changes['refutation'] += 1
         self._self = dataclasses.replace(self._self, **changes)
-        self._news[self._self.host_id] = 0
+        self._send_counts[self._self.host_id] = 0
 
     def _store(
         self,
@@ -486,7 +492,7 @@
     ) -> None:
         member.claim = claim
         member.changed_s = now_s
-        self._news[claim.host_id] = 0
+        self._send_counts[claim.host_id] = 0
 
     def _merge_values(self, values: typing.Iterable[tuple[str, int]]) -> None:
         for name, number in values:
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -133,10 +133,10 @@
     net = member_net.MemberNet(7)
     net.run(20)
     view = net.hosts['h000'].view(net.now_s)
-    assert len(view.heard) == 7
+    assert len(view.recently_seen) == 7
     net.part(['h000'], [name for name in net.hosts if name != 'h000'])
     net.run(30)
-    assert net.hosts['h000'].view(net.now_s).heard == ('h000',)
+    assert net.hosts['h000'].view(net.now_s).recently_seen == ('h000',)
 
 
 def test_highest_number_reaches_every_host():
