--- a/limpetroute/peers/request_budget.py
+++ b/limpetroute/peers/request_budget.py
@@ -29,13 +29,13 @@
     until_s: float
     attempts_left: int
 
-    def left_s(self, now_s: float) -> float:
+    def remaining_s(self, now_s: float) -> float:
         """Return the time left, at least 0."""
         return max(0.0, self.until_s - now_s)
 
     def may_try(self, now_s: float) -> bool:
         """Whether one more attempt is allowed."""
-        return self.attempts_left > 0 and self.left_s(now_s) > 0
+        return self.attempts_left > 0 and self.remaining_s(now_s) > 0
 
     def after_try(self) -> 'RequestBudget':
         """Return the budget with one attempt taken off.
@@ -51,7 +51,7 @@
 
     def headers(self, now_s: float) -> dict[str, str]:
         """Return the headers that carry the budget to the next host."""
-        remaining_ms = int(self.left_s(now_s) * 1000)
+        remaining_ms = int(self.remaining_s(now_s) * 1000)
         return {
             DEADLINE_HEADER: str(remaining_ms),
             ATTEMPTS_HEADER: str(self.attempts_left),
--- a/limpetroute/wire/call_failed.py
+++ b/limpetroute/wire/call_failed.py
@@ -1,11 +1,11 @@
-"""Outcome of a call that got no usable reply."""
+"""Result of a call that got no usable reply."""
 
 import dataclasses
 import enum
 
 
 class FailureKind(enum.StrEnum):
-    """Where a call ended."""
+    """How a call failed."""
 
     CONNECT = 'connect'
     TIMEOUT = 'timeout'
@@ -15,21 +15,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallFailed:
-    """A call that ended without a whole reply.
+    """Result of a call that ended without a complete reply.
 
     Parameters
     ----------
     kind : FailureKind
-        Where the call ended.
+        How the call failed.
     sent : bool
-        Whether a byte of the request may have reached the other end.
-        Only a call with ``sent`` false is known not to have run.
+        Whether part of the request may have reached the server. Only a
+        call with ``sent`` false is certain not to have run.
     detail : str
-        Text for a log line.
+        Description of the cause, for a log line.
     received_bytes : int
-        What had come of the reply's body.
+        Bytes of the reply's body received before the failure.
     refused : bool
-        Whether nothing listens at the address.
+        Whether the server refused the connection.
     """
 
     kind: FailureKind
--- a/limpetroute/wire/caller.py
+++ b/limpetroute/wire/caller.py
@@ -1,4 +1,4 @@
-"""Calls other processes over HTTP with JSON bodies."""
+"""HTTP client for calls with JSON bodies to other processes."""
 
 import json
 import ssl
@@ -19,12 +19,12 @@
     Parameters
     ----------
     tls : ssl.SSLContext or None
-        Context for ``https`` addresses, or None for the system's
-        authorities.
+        Context for ``https`` addresses, or None to trust the system's
+        certificate authorities.
     token : str or None
-        Bearer token put on each call.
+        Bearer token to send with each call, or None.
     unzips : bool
-        Whether replies may come gzipped.
+        Whether to accept gzipped replies.
     """
 
     __slots__ = ('_tls', '_token', '_unzips')
@@ -55,12 +55,12 @@
             connection.CONNECT_TIMEOUT_S,
         ),
     ) -> connection.Connection | call_failed.CallFailed:
-        """Send a request and return once its headers are here.
+        """Send a request and wait for the response headers.
 
         Returns
         -------
         Connection or CallFailed
-            The caller of this method closes the connection.
+            The caller of this method must close the connection.
         """
         parts = urllib.parse.urlsplit(url)
         secure = parts.scheme == 'https'
@@ -100,11 +100,12 @@
         body_timeout_s: float | None = None,
         idle_timeout_s: float | None = None,
     ) -> reply.Reply | call_failed.CallFailed:
-        """Send a request and read its whole reply.
+        """Send a request and read the complete reply.
 
-        A reply of over ``max_reply_bytes`` counts as garbled. Its body
-        has as long as its headers had, or ``body_timeout_s``, and may
-        pause for ``idle_timeout_s``.
+        A reply longer than ``max_reply_bytes`` fails the call as garbled.
+        The body must arrive within ``body_timeout_s`` after the headers;
+        the default is ``timeout_s``. No gap between its chunks may exceed
+        ``idle_timeout_s``.
         """
         link = await self.open(
             method=method,
@@ -126,7 +127,7 @@
             link.close()
 
     def _secure_context(self) -> ssl.SSLContext:
-        """Return the context for ``https``, which is never plain text."""
+        """Return the TLS context for ``https`` addresses."""
         if self._tls is None:
             self._tls = ssl.create_default_context()
         return self._tls
--- a/limpetroute/wire/connection.py
+++ b/limpetroute/wire/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection owned by the task that made it."""
+"""An HTTP connection for a single request."""
 
 import asyncio
 import ipaddress
@@ -17,16 +17,16 @@
 CHUNK_BYTES = 65536
 CONNECT_TIMEOUT_S = 2.0
 MAX_BODY_BYTES = 64 << 20
-MAX_WAITING_CHUNKS = 16
+MAX_BUFFERED_CHUNKS = 16
 IP_VERSION_6 = 6
 
 
 class _Collector(httputil.HTTPMessageDelegate):
-    """Gathers one response until its reader takes the parts.
+    """Buffers the chunks of one response until they are taken.
 
-    A timer for each part would cost more than the part itself: one
-    timer runs for the whole response, and is set anew only when it
-    fires and the reader has not waited long enough.
+    A timer for each chunk would cost more than the chunk itself. One
+    timer runs for the whole response instead, and is restarted only if
+    it fires before the current wait has reached the idle timeout.
     """
 
     def __init__(self) -> None:
@@ -35,11 +35,11 @@
         self.started = asyncio.Event()
         self.whole = False
         self.ended = False
-        self._parts: list[bytes] = []
-        self._room: asyncio.Event | None = None
+        self._chunks: list[bytes] = []
+        self._taken: asyncio.Event | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._since_s = 0.0
+        self._wait_started_s = 0.0
 
     def headers_received(
         self,
@@ -52,15 +52,15 @@
         self.started.set()
 
     def data_received(self, chunk: bytes) -> typing.Awaitable[None] | None:
-        self._parts.append(chunk)
+        self._chunks.append(chunk)
         self._wake()
-        if len(self._parts) < MAX_WAITING_CHUNKS:
+        if len(self._chunks) < MAX_BUFFERED_CHUNKS:
             return None
-        self._room = asyncio.Event()
-        return self._wait_for_room(self._room)
+        self._taken = asyncio.Event()
+        return self._wait_until_taken(self._taken)
 
-    async def _wait_for_room(self, room: asyncio.Event) -> None:
-        await room.wait()
+    async def _wait_until_taken(self, taken: asyncio.Event) -> None:
+        await taken.wait()
 
     def finish(self) -> None:
         self.whole = True
@@ -71,18 +71,18 @@
         self._end()
 
     def take(self) -> bytes:
-        """Return all parts that wait."""
-        data = b''.join(self._parts)
-        self._parts.clear()
-        if self._room is not None:
-            self._room.set()
-            self._room = None
+        """Remove and return all buffered chunks."""
+        data = b''.join(self._chunks)
+        self._chunks.clear()
+        if self._taken is not None:
+            self._taken.set()
+            self._taken = None
         return data
 
     async def wait(self, idle_timeout_s: float) -> None:
-        """Wait for a part or the end."""
+        """Wait for a chunk or the end of the response."""
         loop = asyncio.get_running_loop()
-        self._since_s = loop.time()
+        self._wait_started_s = loop.time()
         self._waiter = loop.create_future()
         if self._timer is None:
             self._timer = loop.call_later(
@@ -94,7 +94,7 @@
             self._waiter = None
 
     def close(self) -> None:
-        """End the timer."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -104,9 +104,11 @@
         if self._waiter is None or self._waiter.done():
             return
         loop = asyncio.get_running_loop()
-        left_s = self._since_s + idle_timeout_s - loop.time()
-        if left_s > 0:
-            self._timer = loop.call_later(left_s, self._check, idle_timeout_s)
+        remaining_s = self._wait_started_s + idle_timeout_s - loop.time()
+        if remaining_s > 0:
+            self._timer = loop.call_later(
+                remaining_s, self._check, idle_timeout_s
+            )
             return
         self._waiter.set_exception(TimeoutError())
 
@@ -120,23 +122,23 @@
 
 
 class Connection:
-    """One request and its response on a socket of its own.
+    """One request and its response on a separate socket.
 
-    A library client that cannot cancel a running fetch would leave a
-    decode running for a caller that is gone; here `close` ends the
-    socket, and the runner sees it at once.
+    With a client library that cannot cancel a running fetch, a decode
+    would continue for a caller that has disconnected. `close` closes the
+    socket, which the runner detects at once.
 
     Parameters
     ----------
     host : str
-        Address of the other end.
+        Host name or IP address of the server.
     port : int
-        TCP port of the other end.
+        TCP port of the server.
     tls : ssl.SSLContext or None
         Context for TLS, or None for plain text.
     unzips : bool
-        Whether a gzipped body is unpacked. A runner's body is handed on
-        as it came.
+        Whether to decompress a gzipped body. The body of a runner is
+        passed on unchanged.
     """
 
     __slots__ = (
@@ -173,7 +175,7 @@
     async def connect(
         self, tries_s: typing.Sequence[float] = (CONNECT_TIMEOUT_S,)
     ) -> call_failed.CallFailed | None:
-        """Connect ahead of `send`, with a timeout for each try."""
+        """Connect before `send`, with a timeout for each attempt."""
         try:
             await self._connect_in(tries_s)
         except (TimeoutError, OSError, iostream.StreamClosedError) as exc:
@@ -189,9 +191,9 @@
             self.close()
             raise
         assert self._stream is not None
-        # With a callback, the stream watches for the other end's close
-        # while nothing is read from it.
-        self._stream.set_close_callback(_nothing)
+        # With a callback set, the stream detects that the server closes
+        # the connection even while nothing is read from it.
+        self._stream.set_close_callback(_do_nothing)
         return None
 
     async def send(
@@ -206,11 +208,11 @@
     ) -> call_failed.CallFailed | None:
         """Connect, send the request and wait for the response headers.
 
-        ``Host`` among the headers is kept; otherwise it is this end's
-        address. ``connect_tries_s`` has a timeout for each try to
-        connect. A connection made before by `connect` is used, unless
-        the other end has closed it: then nothing was sent on it, and
-        another one is made.
+        A ``Host`` header is kept; without one, the server's address and
+        port are sent. ``connect_tries_s`` has the timeout of each attempt
+        to connect. A connection opened by `connect` is reused. If the
+        server has closed it, nothing was sent on it yet, so a new one is
+        opened.
 
         Returns
         -------
@@ -253,10 +255,10 @@
         return None
 
     async def _connect_in(self, tries_s: typing.Sequence[float]) -> None:
-        """Connect, with a new socket after each timeout but the last.
+        """Connect, with a new socket for each attempt.
 
-        A lost opening packet is sent again by the system only after a
-        second; a new socket sends one at once.
+        The system repeats a lost SYN packet only after 1 s, whereas a new
+        socket sends one at once.
         """
         for try_s in tries_s[:-1]:
             try:
@@ -270,10 +272,11 @@
             self._stream = await self._connect()
 
     async def _connect(self) -> iostream.IOStream:
-        """Connect, without the resolver's thread where there is no name.
+        """Connect, and use the resolver only for host names.
 
-        Hosts and runners are reached by number: handing each connect to
-        the resolver's thread pool would cost more than the connect.
+        Hosts and runners are addressed by IP address. Passing such an
+        address through the resolver's thread pool would cost more than
+        the connect itself.
         """
         family = _family(self._host)
         if family is None:
@@ -285,9 +288,9 @@
         if self._tls is None:
             self._stream = iostream.IOStream(sock)
             return await self._stream.connect(address)
-        # One stream from the first byte on: a plain stream that turns to
-        # TLS gives its socket away, and a handshake that fails or hangs
-        # could not be closed any more.
+        # Create a TLS stream from the start. A plain stream that is
+        # upgraded to TLS detaches its socket, which then could not be
+        # closed if the handshake fails or hangs.
         self._stream = iostream.SSLIOStream(sock, ssl_options=self._tls)
         return await self._stream.connect(address, server_hostname=self._host)
 
@@ -298,11 +301,11 @@
         headers: typing.Mapping[str, str],
         body: bytes,
     ) -> None:
-        """Begin to write, and read at the same time.
+        """Start to write the request and to read the response.
 
-        A server may answer before it has read a long body and read on
-        only then; a caller that first wrote all of it would wait for
-        the server, which waits for its answer to be read.
+        A server may answer before it has read a long body, and read the
+        remainder only after its answer was read. A client that wrote the
+        complete body first would deadlock with such a server.
         """
         assert self._stream is not None
         connection = http1connection.HTTP1Connection(
@@ -337,7 +340,7 @@
 
     @property
     def status(self) -> int:
-        """Status of the response."""
+        """HTTP status of the response."""
         return self._collector.status
 
     @property
@@ -347,11 +350,11 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the response arrived to its end.
+        """Whether the complete response arrived.
 
-        A body without a length ends with its connection. One that was
-        reset ends the same way for the reader, and only the socket's
-        error tells that the rest is missing.
+        A body without a length ends when the connection is closed. A
+        reset connection looks the same to the reader; only the error of
+        the socket shows that the body is incomplete.
         """
         if not self._collector.whole:
             return False
@@ -366,9 +369,9 @@
     ) -> typing.AsyncIterator[bytes]:
         """Yield the body as it arrives.
 
-        A silent connection, both ends alive and its packets dropped in
-        between, gives no error for ever; it shows as no chunk for
-        ``idle_timeout_s``, and the iteration raises `TimeoutError`.
+        If the network drops all packets of a connection, neither end
+        gets an error. The iteration therefore raises `TimeoutError` when
+        no chunk arrives for ``idle_timeout_s``.
         """
         collector = self._collector
         while True:
@@ -389,8 +392,8 @@
     ) -> reply.Reply | call_failed.CallFailed:
         """Read the whole body, of at most ``max_bytes``.
 
-        With ``idle_timeout_s``, a body that stops coming for so long is
-        given up before its time is over.
+        With ``idle_timeout_s``, a gap of that length between two chunks
+        fails the call before ``timeout_s`` is over.
         """
         idle_s = timeout_s if idle_timeout_s is None else idle_timeout_s
         parts = []
@@ -423,18 +426,18 @@
         )
 
     def close(self) -> None:
-        """End the socket; the other end sees it at once."""
+        """Close the socket, which the server detects at once."""
         self._collector.close()
         if self._stream is not None:
             self._stream.close()
 
 
-def _nothing() -> None:
-    """Stand for a callback that has nothing to do."""
+def _do_nothing() -> None:
+    """Do nothing; used as the close callback of a stream."""
 
 
 def _family(host: str) -> socket.AddressFamily | None:
-    """Return the family of an IP number, or None for a name."""
+    """Return the family of an IP address, or None for a host name."""
     try:
         version = ipaddress.ip_address(host).version
     except ValueError:
--- a/limpetroute/wire/credentials.py
+++ b/limpetroute/wire/credentials.py
@@ -1,4 +1,4 @@
-"""Token and TLS contexts, each made once at start."""
+"""Tokens and TLS contexts, loaded once at startup."""
 
 import dataclasses
 import pathlib
@@ -8,14 +8,14 @@
 
 
 class CredentialsError(ValueError):
-    """A file of the credentials cannot be used.
+    """A credentials file cannot be used.
 
     Parameters
     ----------
     field : str
-        Setting that names the file.
+        Setting that contains the path of the file.
     text : str
-        What is wrong with it; never its content.
+        Description of the error, without the content of the file.
     """
 
     def __init__(self, *, field: str, text: str) -> None:
@@ -26,12 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Credentials:
-    """What a process shows and accepts on the internal ports.
+    """Credentials a process sends and accepts on the internal ports.
 
     Parameters
     ----------
     tokens : tuple of str
-        The first is sent, each is accepted; empty for the demo.
+        Accepted tokens; the first is also sent. Empty for the demo.
     client_tls : ssl.SSLContext or None
         Context for calls to ``https`` addresses.
     """
@@ -41,14 +41,14 @@
 
     @property
     def token(self) -> str | None:
-        """Token to send."""
+        """Token to send, or None."""
         return self.tokens[0] if self.tokens else None
 
 
 def load(
     *, token_file: pathlib.Path | None, ca_file: pathlib.Path | None
 ) -> Credentials:
-    """Read the files.
+    """Load the credentials from their files.
 
     Raises
     ------
@@ -63,7 +63,7 @@
 def server_context(
     cert_file: pathlib.Path, key_file: pathlib.Path
 ) -> ssl.SSLContext:
-    """Make the context of a port.
+    """Create the TLS context of a listening port.
 
     Raises
     ------
--- a/limpetroute/wire/line_splitter.py
+++ b/limpetroute/wire/line_splitter.py
@@ -1,23 +1,23 @@
-"""Cuts a byte stream into lines across chunk borders."""
+"""Splits a byte stream into lines, independent of chunk boundaries."""
 
 
 class LineSplitter:
-    """Collects chunks and gives back whole lines.
+    """Collects chunks and returns complete lines.
 
-    Reads coalesce under load and lines are torn between chunks, so a
-    chunk is never taken for a line.
+    Under load, one chunk may contain several lines, and one line may be
+    split over several chunks.
 
     Parameters
     ----------
     max_line_bytes : int
-        Longest line kept while its end has not arrived.
+        Longest incomplete line that is buffered.
     """
 
-    __slots__ = ('_max_line_bytes', '_rest')
+    __slots__ = ('_max_line_bytes', '_partial')
 
     def __init__(self, *, max_line_bytes: int = 1 << 20) -> None:
         self._max_line_bytes = max_line_bytes
-        self._rest = b''
+        self._partial = b''
 
     def __repr__(self) -> str:
         return (
@@ -25,16 +25,16 @@
         )
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        """Take a chunk and return the lines it completes.
+        """Add a chunk and return the non-empty lines that it completes.
 
         Raises
         ------
         ValueError
-            If a line grows past ``max_line_bytes``.
+            If an incomplete line exceeds ``max_line_bytes``.
         """
-        lines = (self._rest + chunk).split(b'\n')
-        self._rest = lines.pop()
-        if len(self._rest) > self._max_line_bytes:
-            start = self._rest[:40]
+        lines = (self._partial + chunk).split(b'\n')
+        self._partial = lines.pop()
+        if len(self._partial) > self._max_line_bytes:
+            start = self._partial[:40]
             raise ValueError(f'line too long: {start!r}...')
         return [line for line in lines if line]
--- a/limpetroute/wire/plain.py
+++ b/limpetroute/wire/plain.py
@@ -1,4 +1,4 @@
-"""Turns typed values into terms of JSON, for traces."""
+"""Converts typed values to JSON-compatible values, for traces."""
 
 import dataclasses
 import enum
@@ -6,10 +6,10 @@
 
 
 def plain(value: typing.Any) -> typing.Any:
-    """Return the value in terms of JSON.
+    """Convert a value to a JSON-compatible value.
 
-    A dataclass becomes an object whose ``is`` names its type; sets are
-    sorted, so that one result has one form.
+    A dataclass becomes an object with its type name under ``is``. Sets
+    are sorted, so that equal values have the same form.
     """
     if isinstance(value, enum.Enum):
         return value.value
@@ -25,7 +25,7 @@
 
 
 def fields(value: typing.Any) -> dict[str, typing.Any]:
-    """Return a dataclass's fields in terms of JSON."""
+    """Return a dataclass's fields as JSON-compatible values."""
     return {
         field.name: plain(getattr(value, field.name))
         for field in dataclasses.fields(value)
--- a/limpetroute/wire/reply.py
+++ b/limpetroute/wire/reply.py
@@ -1,4 +1,4 @@
-"""A whole reply to a call."""
+"""The complete reply to a call."""
 
 import dataclasses
 import json
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """Status, headers and body of a finished call."""
+    """Status, headers and body of a completed call."""
 
     status: int
     headers: typing.Mapping[str, str]
@@ -15,11 +15,11 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the status is a success."""
+        """Whether the status is in the 200 to 299 range."""
         return 200 <= self.status < 300
 
     def json(self) -> typing.Any:
-        """Decode the body.
+        """Decode the body as JSON.
 
         Raises
         ------
--- a/limpetroute/wire/small_call.py
+++ b/limpetroute/wire/small_call.py
@@ -1,4 +1,4 @@
-"""A call to a runner that carries no caller's request."""
+"""A call to a runner that does not forward a caller's request."""
 
 import dataclasses
 import typing
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SmallCall:
-    """A call to a runner that carries no caller's request."""
+    """A call to a runner that does not forward a caller's request."""
 
     method: str
     path: str
--- a/limpetroute/wire/token_guard.py
+++ b/limpetroute/wire/token_guard.py
@@ -1,4 +1,4 @@
-"""Refuses calls without the deployment's token."""
+"""Rejects calls that lack an accepted token."""
 
 import hashlib
 import hmac
@@ -12,12 +12,12 @@
 
 
 class TokenGuard:
-    """Compares tokens in a time that tells nothing of them.
+    """Checks bearer tokens in constant time.
 
     Parameters
     ----------
     tokens : sequence of str
-        Accepted tokens; none admits every call.
+        Accepted tokens; if empty, every call is admitted.
     """
 
     __slots__ = ('_digests',)
@@ -29,13 +29,13 @@
         return f'{type(self).__name__}(tokens={len(self._digests)!r})'
 
     def admits(self, authorization: str | None) -> bool:
-        """Whether the header's value carries an accepted token."""
+        """Whether an ``Authorization`` value has an accepted token."""
         if not self._digests:
             return True
-        given = authorization or ''
-        if not given.startswith(SCHEME):
+        header = authorization or ''
+        if not header.startswith(SCHEME):
             return False
-        shown = _digest(given[len(SCHEME) :].strip())
+        shown = _digest(header[len(SCHEME) :].strip())
         found = False
         for digest in self._digests:
             found |= hmac.compare_digest(shown, digest)
@@ -43,10 +43,10 @@
 
 
 class RefusedHandler(web.RequestHandler):
-    """Answers any call without the token."""
+    """Answers calls without an accepted token with status 401."""
 
     def prepare(self) -> None:
-        """Refuse."""
+        """Send the error before any method of the handler runs."""
         self.set_status(HTTP_UNAUTHORIZED)
         self.set_header('WWW-Authenticate', 'Bearer')
         error = {
@@ -61,8 +61,8 @@
 class GuardedApplication(web.Application):
     """Routes of an internal port behind a `TokenGuard`.
 
-    The guard stands before the routes: a handler added later cannot be
-    left open by forgetting the check in it.
+    The guard runs before a handler is chosen, so a new handler is
+    protected without a check of its own.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
     def find_handler(
         self, request: httputil.HTTPServerRequest, **kwargs: typing.Any
     ) -> typing.Any:
-        """Find the handler of a call that carries the token."""
+        """Return the handler of the route, or `RefusedHandler`."""
         if self._guard.admits(request.headers.get('Authorization')):
             return super().find_handler(request, **kwargs)
         return self.get_handler_delegate(request, RefusedHandler)
@@ -91,4 +91,4 @@
 
 
 def _no_log(handler: web.RequestHandler) -> None:
-    """Write no line for a request: counters do that."""
+    """Do not log requests; counters cover them."""
--- a/tests/peers/test_small_parts.py
+++ b/tests/peers/test_small_parts.py
@@ -70,7 +70,7 @@
         most=request_budget.RequestBudget(until_s=990.0, attempts_left=3),
     )
     assert got.attempts_left == 2
-    assert got.left_s(900.0) == 6.0
+    assert got.remaining_s(900.0) == 6.0
     bold = {
         request_budget.DEADLINE_HEADER: '999999999',
         request_budget.ATTEMPTS_HEADER: '99',
