--- a/tests/peers/grant_world.py
+++ b/tests/peers/grant_world.py
@@ -1,4 +1,4 @@
-"""Hosts, a runner and their clocks in memory, for the grants."""
+"""Simulation of hosts, a runner and their clocks, for tests of grants."""
 
 import dataclasses
 
@@ -24,11 +24,11 @@
     host: str
     work_id: str
     kv_bytes: int
-    lands_s: float
+    arrives_s: float
 
 
 class GrantWorld:
-    """The oracle is the runner: it counts what it was asked for."""
+    """Simulated hosts and a runner that counts orders beyond its capacity."""
 
     voter_class = lease_voter.LeaseVoter
 
@@ -38,11 +38,11 @@
         self.down = set()
         self.runs = {}
         self.orders = []
-        self.over_asked = 0
+        self.rejected_orders = 0
         self.sequence = 0
         self.number = 0
         self.starts = 0
-        self.desks = {}
+        self.coordinators = {}
         self.ledgers = {}
         self.reports = []
         for name in RATES:
@@ -54,7 +54,7 @@
 
     def restart(self, name):
         self.starts += 1000
-        desk = grant_coordinator.GrantCoordinator(
+        coordinator = grant_coordinator.GrantCoordinator(
             host_id=name,
             zone='z',
             voters=tuple(RATES),
@@ -62,11 +62,11 @@
             grants=GRANTS,
             started_s=self.now_s(name),
         )
-        desk.voter = self.voter_class(
+        coordinator.voter = self.voter_class(
             voter_id=name, config=LEASES, started_s=self.now_s(name)
         )
-        desk.set_hosts(dict.fromkeys(RATES, 'z'))
-        self.desks[name] = desk
+        coordinator.set_hosts(dict.fromkeys(RATES, 'z'))
+        self.coordinators[name] = coordinator
         self.ledgers[name] = grant_ledger.GrantLedger(config=GRANTS)
         self.down.discard(name)
 
@@ -78,22 +78,24 @@
     def tick(self, name):
         if name in self.down:
             return
-        desk = self.desks[name]
-        for send in desk.tick(self.now_s(name), fence_floor=self.starts):
+        coordinator = self.coordinators[name]
+        for send in coordinator.tick(
+            self.now_s(name), fence_floor=self.starts
+        ):
             if not self.linked(name, send.host_id):
                 continue
-            other = self.desks[send.host_id]
+            other = self.coordinators[send.host_id]
             if isinstance(send.message, hand_over.HandOver):
                 other.on_hand_over(send.message)
                 if self.linked(send.host_id, name):
-                    desk.on_hand_over_accepted(send.message.runner_id)
+                    coordinator.on_hand_over_accepted(send.message.runner_id)
                 continue
             vote = other.voter.vote(send.message, self.now_s(send.host_id))
             if self.linked(send.host_id, name):
-                desk.on_vote(vote, self.now_s(name))
+                coordinator.on_vote(vote, self.now_s(name))
 
     def report(self, *, delay_s=0.0):
-        """Measure a report; it reaches the hosts after the delay."""
+        """Measure a report and deliver it to the hosts after a delay."""
         self.sequence += 1
         used = sum(self.runs.values())
         self.reports.append(
@@ -113,11 +115,11 @@
             if at_s > self.real_s:
                 continue
             self.reports.remove(item)
-            for name in self.desks:
+            for name in self.coordinators:
                 if name in self.down:
                     continue
                 now_s = self.now_s(name)
-                self.desks[name].on_report(
+                self.coordinators[name].on_report(
                     runner_report.RunnerReport(
                         runner_id=RUNNER,
                         zone='z',
@@ -137,10 +139,10 @@
         while self.real_s < end_s - 1e-9:
             self.real_s = min(end_s, self.real_s + 0.25)
             self.deliver_reports()
-            self.land_orders()
+            self.apply_due_orders()
 
     def acquire(self, name, kv_bytes, work_id=None):
-        """Ask for room as an entry host does; return the work or None."""
+        """Acquire capacity for a host; return the work id or None."""
         if name in self.down:
             return None
         again = work_id is not None
@@ -151,11 +153,11 @@
             work_id=work_id, run_id=work_id, asker_id=name, kv_bytes=kv_bytes
         )
         asked_s = self.now_s(name)
-        holder = self.desks[name].holder_of(RUNNER, asked_s)
+        holder = self.coordinators[name].holder_of(RUNNER, asked_s)
         for _ in range(2):
             if not holder or not self.linked(name, holder):
                 return None
-            got = self.desks[holder].acquire(
+            got = self.coordinators[holder].acquire(
                 RUNNER, asked, self.now_s(holder), again=again
             )
             if isinstance(got, grant.NotHolder):
@@ -183,32 +185,32 @@
         )
 
     def start(self, name, work_id, flight_s):
-        """Send the import order; it lands within the bound."""
+        """Send the import order, which arrives after ``flight_s``."""
         if name in self.down:
             return False
         ledger = self.ledgers[name]
         if not ledger.start(RUNNER, work_id, self.now_s(name)):
             return False
-        # The bound holds on the sender's clock.
+        # The limit ``order_flight_s`` applies to the sender's clock.
         order = Order(
             host=name,
             work_id=work_id,
             kv_bytes=ledger.find(RUNNER, work_id).grant.kv_bytes,
-            lands_s=self.real_s + flight_s / max(RATES.values()),
+            arrives_s=self.real_s + flight_s / max(RATES.values()),
         )
         self.orders.append(order)
-        self.land_orders()
+        self.apply_due_orders()
         return True
 
-    def land_orders(self):
+    def apply_due_orders(self):
         for order in list(self.orders):
-            if order.lands_s > self.real_s:
+            if order.arrives_s > self.real_s:
                 continue
             self.orders.remove(order)
             full = len(self.runs) >= SLOTS
             used = sum(self.runs.values()) + order.kv_bytes
             if full or used > KV_BYTES:
-                self.over_asked += 1
+                self.rejected_orders += 1
                 continue
             self.runs[order.work_id] = order.kv_bytes
 
@@ -216,9 +218,9 @@
         self.runs.pop(work_id, None)
 
     def release(self, name, work_id):
-        """The asker gives room back after its run has ended."""
+        """Release a grant after its run has ended."""
         line = self.ledgers[name].pop(RUNNER, work_id)
         if line is None or not self.linked(name, line.holder_id):
             return
-        desk = self.desks[line.holder_id]
-        desk.release(RUNNER, work_id, self.now_s(line.holder_id))
+        coordinator = self.coordinators[line.holder_id]
+        coordinator.release(RUNNER, work_id, self.now_s(line.holder_id))
--- a/tests/peers/member_net.py
+++ b/tests/peers/member_net.py
@@ -1,4 +1,4 @@
-"""A network in memory for the membership core."""
+"""A simulated network for tests of the membership protocol."""
 
 import heapq
 import random
@@ -13,7 +13,7 @@
 
 
 class MemberNet:
-    """Hosts, a virtual clock, and links that can be cut."""
+    """Simulated hosts, a virtual clock, and links that can be cut."""
 
     def __init__(self, count, *, seed=1, config=None, codec=False):
         self.now_s = 0.0
@@ -27,9 +27,9 @@
         self.order = 0
         self.bytes = 0
         self.messages = 0
-        self.biggest = 0
-        for place in range(count):
-            self.start(f'h{place:03d}', count)
+        self.largest_message_bytes = 0
+        for number in range(count):
+            self.start(f'h{number:03d}', count)
 
     def start(self, name, count, incarnation=1):
         seeds = [f'http://10.0.0.{n}' for n in range(min(3, count))]
@@ -53,7 +53,9 @@
             if self.codec:
                 data = member_codec.encode(item.message)
                 self.bytes += len(data)
-                self.biggest = max(self.biggest, len(data))
+                self.largest_message_bytes = max(
+                    self.largest_message_bytes, len(data)
+                )
             if (source, target) in self.cut or source in self.down:
                 continue
             self.order += 1
@@ -83,6 +85,6 @@
             for two in right:
                 self.cut |= {(one, two), (two, one)}
 
-    def status(self, seer, host):
-        claim = self.hosts[seer].view(self.now_s).find(host)
+    def status(self, observer, host):
+        claim = self.hosts[observer].view(self.now_s).find(host)
         return None if claim is None else str(claim.status)
--- a/tests/peers/record_world.py
+++ b/tests/peers/record_world.py
@@ -1,4 +1,4 @@
-"""Hosts with records, copies, callers and one engine, in memory."""
+"""Simulation of hosts with records and copies, callers and an engine."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass
 class Connection:
-    """A caller's connection; ``host`` keeps it until one side ends."""
+    """A caller's connection to ``host``."""
 
     number: int
     host: str
@@ -24,7 +24,7 @@
 
 
 class Caller:
-    """The oracle: what one caller was handed, in order."""
+    """Oracle: the events delivered to one caller, over all connections."""
 
     def __init__(self):
         self.connections = []
@@ -34,7 +34,7 @@
 
 class RecordWorld:
     voter_class = lease_voter.LeaseVoter
-    copy_first = True
+    copies_before_delivery = True
 
     def __init__(self):
         self.real_s = 1000.0
@@ -83,16 +83,16 @@
     def linked(self, one, two):
         return (one, two) not in self.cut
 
-    def both(self, one, two):
+    def linked_both_ways(self, one, two):
         return self.linked(one, two) and self.linked(two, one)
 
     def tick(self, name):
         now_s = self.now_s(name)
         holder = self.holders[name]
-        for voter, ask in holder.tick(now_s):
+        for voter, request in holder.tick(now_s):
             if not self.linked(name, voter):
                 continue
-            vote = self.voters[voter].vote(ask, self.now_s(voter))
+            vote = self.voters[voter].vote(request, self.now_s(voter))
             if self.linked(voter, name):
                 holder.on_vote(vote, self.now_s(name))
         self.check_own_lease(name)
@@ -105,7 +105,7 @@
             self.tick(name)
 
     def check_own_lease(self, name):
-        """Records from before a lapse are another host's by now."""
+        """Drop records if the lease expired: another host may own them now."""
         held = self.holders[name].held(self.owner(name), self.now_s(name))
         fence = held.fence if held else None
         if self.fences[name] is not None and fence != self.fences[name]:
@@ -116,10 +116,12 @@
 
     def choose_successor(self, name):
         sender = self.senders[name]
-        if sender.successor_id and self.both(name, sender.successor_id):
+        if sender.successor_id and self.linked_both_ways(
+            name, sender.successor_id
+        ):
             return
         for other in RATES:
-            if other != name and self.both(name, other):
+            if other != name and self.linked_both_ways(name, other):
                 sender.set_successor(other)
                 return
 
@@ -137,11 +139,11 @@
             )
 
     def take_over(self, name):
-        """Take over from owners that are dead or cannot be reached."""
+        """Take over records of owners that are dead or cannot be reached."""
         copies = self.copies[name]
         for owner in copies.owners:
             host = owner.split('@')[0]
-            if self.both(name, host) and owner == self.owner(host):
+            if self.linked_both_ways(name, host) and owner == self.owner(host):
                 continue
             self.holders[name].want(owner, fence_floor=1)
         for owner in self.holders[name].wanted:
@@ -155,14 +157,14 @@
                 if held.successor_id != name:
                     continue
                 for copied in copies.take_over(owner):
-                    self.own(
+                    self.add_record(
                         name, copied.restore(), dict(copied.facts.request)
                     )
             else:
                 copies.drop(owner)
             self.holders[name].unwant(owner)
 
-    def own(self, name, record, request):
+    def add_record(self, name, record, request):
         record.may_deliver = lambda: self.may_deliver(name)
         self.records[name][record.request_id] = record
         self.senders[name].add(
@@ -187,7 +189,7 @@
             body_digest='d',
             run_id=f'run{self.names}',
         )
-        self.own(name, record, {'stream': True})
+        self.add_record(name, record, {'stream': True})
         self.callers[request_id] = Caller()
         self.connect(request_id, name, None)
         return request_id
@@ -197,7 +199,7 @@
         if record is None:
             return False
         if after_index is not None and after_index >= len(record.events):
-            self.engine_catches_up(record, after_index)
+            self.generate_events_up_to(record, after_index)
         if after_index is None and record.delivery_unsure:
             return False
         attachment = record.attach(after_index=after_index)
@@ -211,15 +213,15 @@
         return True
 
     @staticmethod
-    def engine_catches_up(record, index):
+    def generate_events_up_to(record, index):
         while len(record.events) <= index:
             record.append(f'{record.run_id}-{len(record.events)}')
 
-    def has_it(self, request_id):
+    def hosts_of(self, request_id):
         return [name for name in RATES if request_id in self.records[name]]
 
     def deliver(self, request_id):
-        """Each host writes one event to each connection it may write to."""
+        """Have each host write one event to each connection that is current."""
         caller = self.callers[request_id]
         for item in list(caller.connections):
             record = self.records[item.host].get(request_id)
@@ -228,25 +230,27 @@
             if not self.is_current(record, item.attachment):
                 continue
             index = item.attachment.next_index + len(item.got)
-            self.engine_catches_up(record, index)
+            self.generate_events_up_to(record, index)
             sender = self.senders[item.host]
-            if self.copy_first and not sender.is_copied(request_id):
+            if self.copies_before_delivery and not sender.is_copied(
+                request_id
+            ):
                 self.send_copies(item.host, only=request_id)
                 if not sender.is_copied(request_id):
                     continue
-            self.hand_over(caller, item, record.events[index], index)
+            self.deliver_event(caller, item, record.events[index], index)
             record.mark_delivered(item.attachment, index)
 
     def is_current(self, record, attachment):
         return record.is_current(attachment)
 
-    def hand_over(self, caller, item, text, index):
+    def deliver_event(self, caller, item, text, index):
         assert item.number >= caller.newest_served, (
-            'an older connection receives after a newer one'
+            'an older connection received an event after a newer one'
         )
         caller.newest_served = item.number
         item.got.append(text)
         assert text.endswith(f'-{index}')
         if not item.attachment.next_index <= index:
-            raise AssertionError('an event before the one asked for')
+            raise AssertionError('event before the requested one')
         caller.delivered.add(index)
--- a/tests/peers/test_copy_batches.py
+++ b/tests/peers/test_copy_batches.py
@@ -1,4 +1,4 @@
-"""Copies of many records go in batches that a slow link carries."""
+"""Batches of record copies are small enough for a slow link."""
 
 from limpetroute.peers import copy_holder
 from limpetroute.peers import copy_sender
@@ -8,16 +8,16 @@
 EVENTS = 280
 EVENT = 'x' * 75
 PROMPT = 'p' * 20_000
-# A batch has half a second; a link of 5 Mbit/s carries this meanwhile.
-MOST_CHARS = 300_000
+# Largest batch that a link of 5 Mbit/s carries in the deadline of 0.5 s.
+MAX_BATCH_CHARS = 300_000
 
 
 def test_a_new_heir_gets_all_copies_over_a_slow_link():
-    """The host that takes over knows none of the requests.
+    """The successor changes while 100 records with long prompts are kept.
 
-    The successor changed while 100 records with long prompts were kept.
-    All of a batch's 64 whole records are 2.6 MB, which never arrived
-    within its deadline and began anew each time.
+    The new successor needs all records whole. A batch of 64 whole
+    records had 2.6 MB, never arrived within its deadline, and was sent
+    again in full each time.
     """
     sender = copy_sender.CopySender(owner='a@1.0')
     holder = copy_holder.CopyHolder()
@@ -44,7 +44,7 @@
             len(EVENT) * len(item.progress.events) + len(PROMPT)
             for item in batch.items
         )
-        assert chars < MOST_CHARS
+        assert chars < MAX_BATCH_CHARS
         sender.on_reply(batch, holder.take(batch), 'b')
     assert sender.uncopied == 0
     assert len(holder) == RECORDS
--- a/tests/peers/test_grants.py
+++ b/tests/peers/test_grants.py
@@ -1,4 +1,4 @@
-"""Room at a runner: never granted twice, whatever the hosts do."""
+"""Capacity at a runner is never granted twice."""
 
 import hypothesis
 from hypothesis import stateful
@@ -13,8 +13,8 @@
 HOSTS = tuple(grant_world.RATES)
 
 
-def _settled(world):
-    """Run until somebody grants; return its name."""
+def _wait_until_settled(world):
+    """Run until a host grants capacity; return its name."""
     for _ in range(60):
         world.wait(0.5)
         world.report()
@@ -23,19 +23,19 @@
         for name in HOSTS:
             if name in world.down:
                 continue
-            for book in world.desks[name].books:
+            for book in world.coordinators[name].books:
                 if book.settled:
                     return name
-    raise AssertionError('nobody grants')
+    raise AssertionError('no host grants capacity')
 
 
 def _others(name):
     return [other for other in HOSTS if other != name]
 
 
-def test_one_host_grants_and_others_ask_it():
+def test_one_host_grants_for_all_hosts():
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     one, two = _others(holder)
     assert world.acquire(one, 100) is not None
     assert world.acquire(two, 100) is not None
@@ -44,29 +44,29 @@
 
 def test_bytes_run_out_before_slots():
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     assert world.acquire(holder, 900) is not None
     assert world.acquire(holder, 101) is None
     assert world.acquire(holder, 100) is not None
 
 
 def test_new_holder_counts_what_the_dead_one_granted():
-    """The host that grants for a runner loses power.
+    """A lease holder that has granted both slots loses power.
 
-    It had granted both slots; the runs go on. The next holder must
-    find the runner full, though nobody hands it a book.
+    The runs continue at the runner. The next holder must find the
+    runner full, although it received no book.
     """
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     one, _ = _others(holder)
     for _ in range(2):
         work = world.acquire(one, 100)
         assert world.start(one, work, 0.0)
     world.down.add(holder)
-    rest = {name: 'z' for name in _others(holder)}
-    for name in rest:
-        world.desks[name].set_hosts(rest)
-    next_holder = _settled(world)
+    remaining = {name: 'z' for name in _others(holder)}
+    for name in remaining:
+        world.coordinators[name].set_hosts(remaining)
+    next_holder = _wait_until_settled(world)
     assert next_holder != holder
     assert world.acquire(one, 100) is None
     world.finish(work)
@@ -78,57 +78,57 @@
 
 def test_takeover_is_later_than_the_lease_and_from_a_new_report():
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     world.down.add(holder)
-    rest = {name: 'z' for name in _others(holder)}
-    for name in rest:
-        world.desks[name].set_hosts(rest)
+    remaining = {name: 'z' for name in _others(holder)}
+    for name in remaining:
+        world.coordinators[name].set_hosts(remaining)
     began_s = world.real_s
-    _settled(world)
+    _wait_until_settled(world)
     waited_s = world.real_s - began_s
     assert 4.0 < waited_s < 12.0
 
 
 def test_leaving_holder_hands_over_at_once():
-    """A holder is restarted by the operator, gracefully.
+    """An operator restarts a lease holder gracefully.
 
-    It says that it leaves. Its runner must be granted by another host
-    at once, with the room already granted still counted.
+    The holder announces that it is leaving. Another host must grant
+    capacity at the runner at once, and count the existing grants.
     """
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     one, _ = _others(holder)
     work = world.acquire(one, 100)
-    world.desks[holder].leaving = True
-    rest = {name: 'z' for name in _others(holder)}
+    world.coordinators[holder].leaving = True
+    remaining = {name: 'z' for name in _others(holder)}
     for name in HOSTS:
-        world.desks[name].set_hosts(rest)
+        world.coordinators[name].set_hosts(remaining)
     began_s = world.real_s
     for _ in range(12):
         world.wait(0.25)
         for name in HOSTS:
             world.tick(name)
-    next_holder = world.desks[one].holder_of(
+    next_holder = world.coordinators[one].holder_of(
         grant_world.RUNNER, world.now_s(one)
     )
     assert next_holder != holder
-    (book,) = world.desks[next_holder].books
+    (book,) = world.coordinators[next_holder].books
     assert book.settled
     assert [item.work_id for item in book.grants] == [work]
     assert world.real_s - began_s < 4
-    # The asker finds the new holder and keeps its room there.
+    # The entry host reclaims its grant at the new holder.
     due = world.ledgers[one].due(
         world.now_s(one), {grant_world.RUNNER: next_holder}
     )
     assert [line.grant.work_id for line in due] == [work]
     assert world.acquire(one, 100, work_id=work) == work
-    assert len(world.desks[next_holder].books[0].grants) == 1
+    assert len(world.coordinators[next_holder].books[0].grants) == 1
 
 
-def test_grant_of_a_dead_asker_ends():
-    """An entry host takes a slot and dies before it uses it."""
+def test_grant_of_a_dead_host_expires():
+    """An entry host acquires slots and dies before it uses them."""
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     one, two = _others(holder)
     world.acquire(one, 100)
     world.acquire(one, 100)
@@ -142,9 +142,9 @@
     assert world.acquire(two, 100) is not None
 
 
-def test_frozen_asker_does_not_start_on_an_old_grant():
+def test_frozen_host_does_not_start_on_an_old_grant():
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     one, _ = _others(holder)
     work = world.acquire(one, 100)
     world.wait(8)
@@ -156,38 +156,38 @@
         runner_id='r', fence=1, since_s=0.0, config=grant_world.GRANTS
     )
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     work = world.acquire(holder, 100)
     world.start(holder, work, 0.0)
     world.report()
-    (book,) = world.desks[holder].books
+    (book,) = world.coordinators[holder].books
     assert book.free_slots == 1
     world.finish(work)
     world.release(holder, work)
     assert book.free_slots == 2
 
 
-def test_denial_says_how_much_is_free():
+def test_denial_reports_the_free_slots():
     world = grant_world.GrantWorld()
-    holder = _settled(world)
+    holder = _wait_until_settled(world)
     asked = grant.Grant(
         work_id='w', run_id='w', asker_id=holder, kv_bytes=5000
     )
-    got = world.desks[holder].acquire(
+    got = world.coordinators[holder].acquire(
         grant_world.RUNNER, asked, world.now_s(holder)
     )
     assert got == grant.GrantDenied(free_slots=2)
 
 
 class Grants(stateful.RuleBasedStateMachine):
-    """Oracle: the runner, which counts what it has no room for."""
+    """Oracle: the runner, which counts orders beyond its capacity."""
 
     world_class = grant_world.GrantWorld
 
     def __init__(self):
         super().__init__()
         self.world = self.world_class()
-        self.holder = _settled(self.world)
+        self.holder = _wait_until_settled(self.world)
 
     @stateful.rule(
         name=strategies.sampled_from(HOSTS),
@@ -210,31 +210,31 @@
         kv_bytes=strategies.sampled_from([100, 600]),
         start=strategies.booleans(),
     )
-    def everybody_acquires(self, kv_bytes, start):
+    def all_hosts_acquire(self, kv_bytes, start):
         for name in HOSTS:
             work_id = self.world.acquire(name, kv_bytes)
             if work_id is not None and start:
                 self.world.start(name, work_id, 0.0)
 
     @stateful.rule()
-    def isolate_those_who_grant(self):
+    def isolate_granting_hosts(self):
         for name in HOSTS:
-            if self.world.desks[name].books:
+            if self.world.coordinators[name].books:
                 self.isolate_and_replace(name=name)
 
     @stateful.rule(kv_bytes=strategies.sampled_from([100, 600]))
-    def holder_is_cut_off_and_everybody_starts(self, kv_bytes):
-        self.isolate_those_who_grant()
+    def holder_is_cut_off_and_all_hosts_start(self, kv_bytes):
+        self.isolate_granting_hosts()
         self.ticks(report=True)
-        self.everybody_acquires(kv_bytes=kv_bytes, start=True)
+        self.all_hosts_acquire(kv_bytes=kv_bytes, start=True)
 
     @stateful.rule(kv_bytes=strategies.sampled_from([100, 600]))
-    def holder_is_cut_off_after_everybody_started(self, kv_bytes):
-        self.everybody_acquires(kv_bytes=kv_bytes, start=True)
-        self.isolate_those_who_grant()
+    def holder_is_cut_off_after_all_hosts_started(self, kv_bytes):
+        self.all_hosts_acquire(kv_bytes=kv_bytes, start=True)
+        self.isolate_granting_hosts()
         for _ in range(4):
             self.ticks(report=False)
-        self.everybody_acquires(kv_bytes=kv_bytes, start=True)
+        self.all_hosts_acquire(kv_bytes=kv_bytes, start=True)
 
     @stateful.rule(report=strategies.booleans())
     def ticks(self, report):
@@ -285,18 +285,18 @@
 
     @stateful.rule(name=strategies.sampled_from(HOSTS))
     def isolate_and_replace(self, name):
-        """Cut a host off; the others no longer place runners on it."""
+        """Cut a host off; the others assign its runners to other hosts."""
         for other in _others(name):
             self.world.cut |= {(name, other), (other, name)}
-        rest = {other: 'z' for other in _others(name)}
-        for other in rest:
-            self.world.desks[other].set_hosts(rest)
+        remaining = {other: 'z' for other in _others(name)}
+        for other in remaining:
+            self.world.coordinators[other].set_hosts(remaining)
 
     @stateful.rule()
     def heal(self):
         self.world.cut.clear()
         for name in HOSTS:
-            self.world.desks[name].set_hosts(dict.fromkeys(HOSTS, 'z'))
+            self.world.coordinators[name].set_hosts(dict.fromkeys(HOSTS, 'z'))
 
     @stateful.rule(name=strategies.sampled_from(HOSTS))
     def crash_and_restart(self, name):
@@ -304,24 +304,24 @@
 
     @stateful.rule(name=strategies.sampled_from(HOSTS))
     def leave(self, name):
-        self.world.desks[name].leaving = True
-        rest = {other: 'z' for other in _others(name)}
+        self.world.coordinators[name].leaving = True
+        remaining = {other: 'z' for other in _others(name)}
         for other in HOSTS:
-            self.world.desks[other].set_hosts(rest)
+            self.world.coordinators[other].set_hosts(remaining)
 
     @stateful.rule(name=strategies.sampled_from(HOSTS))
     def come_back(self, name):
-        self.world.desks[name].leaving = False
+        self.world.coordinators[name].leaving = False
 
     @stateful.invariant()
-    def never_asked_for_more_than_it_has(self):
-        assert self.world.over_asked == 0
+    def runner_is_never_overfilled(self):
+        assert self.world.rejected_orders == 0
 
 
 MACHINE_SETTINGS = hypothesis.settings(
     max_examples=60, stateful_step_count=40, deadline=None
 )
-# A mutant need only be found, not shrunk.
+# A failing example of a mutant need not be shrunk.
 MUTANT_SETTINGS = hypothesis.settings(
     MACHINE_SETTINGS,
     max_examples=3000,
@@ -335,6 +335,8 @@
 
 
 class _HastyVoter(lease_voter.LeaseVoter):
+    """Votes for another host before its promise has expired."""
+
     def _may_grant(self, holder_id, item, highest, standing, now_s):
         if standing != holder_id:
             standing = None
--- a/tests/peers/test_lease_machine.py
+++ b/tests/peers/test_lease_machine.py
@@ -1,4 +1,4 @@
-"""Leases under partitions, restarts and clocks that run apart."""
+"""Leases under partitions, restarts and clock drift."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class Leases(stateful.RuleBasedStateMachine):
-    """Oracle: at any real moment at most one host may use the lease."""
+    """Oracle: at any moment of real time, at most one host has the lease."""
 
     voter_class = lease_voter.LeaseVoter
 
@@ -45,10 +45,10 @@
     def _now_s(self, name):
         return self.real_s * RATES[name]
 
-    def _ask(self, name, voter, ask):
+    def _request(self, name, voter, request):
         if (name, voter) in self.cut:
             return
-        vote = self.voters[voter].vote(ask, self._now_s(voter))
+        vote = self.voters[voter].vote(request, self._now_s(voter))
         if (voter, name) in self.cut:
             return
         self.holders[name].on_vote(vote, self._now_s(name))
@@ -58,7 +58,7 @@
         self.holders[name].want(RESOURCE, fence_floor=self.starts)
 
     @stateful.rule(name=strategies.sampled_from(HOSTS))
-    def want_and_ask(self, name):
+    def want_and_request(self, name):
         self.holders[name].want(RESOURCE, fence_floor=self.starts)
         self.tick(name=name, late=False)
 
@@ -74,17 +74,17 @@
         name=strategies.sampled_from(HOSTS), late=strategies.booleans()
     )
     def tick(self, name, late):
-        for voter, ask in self.holders[name].tick(self._now_s(name)):
+        for voter, request in self.holders[name].tick(self._now_s(name)):
             if late:
-                self.late.append((name, voter, ask))
+                self.late.append((name, voter, request))
                 continue
-            self._ask(name, voter, ask)
+            self._request(name, voter, request)
 
     @stateful.precondition(lambda self: self.late)
     @stateful.rule(data=strategies.data())
     def deliver_late(self, data):
         place = data.draw(strategies.integers(0, len(self.late) - 1))
-        self._ask(*self.late.pop(place))
+        self._request(*self.late.pop(place))
 
     @stateful.rule(
         one=strategies.sampled_from(HOSTS), two=strategies.sampled_from(HOSTS)
@@ -104,7 +104,7 @@
         self.holders[name] = self._holder(name)
 
     @stateful.invariant()
-    def one_holder_at_most(self):
+    def at_most_one_holder(self):
         users = []
         for name in HOSTS:
             got = self.holders[name].held(RESOURCE, self._now_s(name))
@@ -116,7 +116,7 @@
 MACHINE_SETTINGS = hypothesis.settings(
     max_examples=150, stateful_step_count=40, deadline=None
 )
-# A mutant need only be found, not shrunk.
+# A failing example of a mutant need not be shrunk.
 MUTANT_SETTINGS = hypothesis.settings(
     MACHINE_SETTINGS,
     max_examples=3000,
@@ -130,7 +130,7 @@
 
 
 class _HastyVoter(lease_voter.LeaseVoter):
-    """Votes for another before its promise has lapsed."""
+    """Votes for another host before its promise has expired."""
 
     def _may_grant(self, holder_id, item, highest, standing, now_s):
         if standing != holder_id:
@@ -138,14 +138,14 @@
         return super()._may_grant(holder_id, item, highest, standing, now_s)
 
 
-class _ForgetfulVoter(lease_voter.LeaseVoter):
-    """Votes right after a restart."""
+class _RestartedVoter(lease_voter.LeaseVoter):
+    """Votes right after a restart, without its former promises."""
 
     def __init__(self, **kwargs):
         super().__init__(**{**kwargs, 'started_s': -100.0})
 
 
-@pytest.mark.parametrize('voter', [_HastyVoter, _ForgetfulVoter])
+@pytest.mark.parametrize('voter', [_HastyVoter, _RestartedVoter])
 def test_takeover_without_the_wait_is_caught(voter):
     class Mutant(Leases):
         voter_class = voter
@@ -158,29 +158,28 @@
 
 
 def test_late_release_of_an_earlier_holding_frees_nothing():
-    """A host gives a runner's lease back and wants it again at once.
+    """A host releases a runner's lease and requests it again at once.
 
-    The release is held up on the way and arrives after the new
-    promises. It must not free them: another host would hold the lease
-    too. The machine above found it.
+    The release is delayed and arrives after the new promises. It must
+    not end them, or two hosts would hold the lease.
     """
     state = Leases()
     state.want(name='a')
     state.unwant(name='a')
     state.tick(name='a', late=True)
-    state.want_and_ask(name='a')
+    state.want_and_request(name='a')
     for _ in range(2):
-        state._ask(*state.late.pop(0))
-    state.want_and_ask(name='b')
+        state._request(*state.late.pop(0))
+    state.want_and_request(name='b')
     state.tick(name='b', late=False)
-    state.one_holder_at_most()
+    state.at_most_one_holder()
     assert state.holders['a'].held(RESOURCE, state._now_s('a')) is not None
 
 
 def _settle(holders, voters, now_s):
     for holder in holders:
-        for voter, ask in holder.tick(now_s):
-            holder.on_vote(voters[voter].vote(ask, now_s), now_s)
+        for voter, request in holder.tick(now_s):
+            holder.on_vote(voters[voter].vote(request, now_s), now_s)
 
 
 def test_released_lease_is_free_at_once_with_a_higher_number():
@@ -211,7 +210,7 @@
     assert second.previous_fence == 7
 
 
-def test_lease_lapses_for_its_holder_before_it_does_for_the_voter():
+def test_lease_expires_for_its_holder_before_it_does_for_the_voter():
     voter = lease_voter.LeaseVoter(voter_id='a', config=CONFIG, started_s=0.0)
     holder = lease_holder.LeaseHolder(
         holder_id='a', voters=('a',), config=CONFIG
@@ -223,7 +222,7 @@
     assert voter.holder(RESOURCE, until_s) == 'a'
 
 
-def test_ranking_moves_only_the_names_of_the_host_that_went():
+def test_ranking_moves_only_the_names_of_the_removed_host():
     from limpetroute.peers import rendezvous
 
     hosts = [f'h{n}' for n in range(7)]
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -11,9 +11,9 @@
 
 def _statuses(net, host):
     return {
-        net.status(seer, host)
-        for seer in net.hosts
-        if seer not in net.down and seer != host
+        net.status(observer, host)
+        for observer in net.hosts
+        if observer not in net.down and observer != host
     }
 
 
@@ -25,10 +25,10 @@
 
 
 def test_dead_host_is_suspect_first_and_dead_after():
-    """A host loses power.
+    """A host loses power without announcing that it leaves.
 
-    No goodbye is said. The others must not give its work away at the
-    first lost packet, and must give it away in the end.
+    The other hosts must not declare it dead after a single unanswered
+    probe, but must do so in the end.
     """
     net = member_net.MemberNet(7)
     net.run(10)
@@ -41,10 +41,10 @@
     assert _statuses(net, 'h003') == {'dead'}
 
 
-def test_one_cut_link_kills_nobody():
-    """A switch drops what two hosts send each other, and only that.
+def test_one_cut_link_makes_no_host_dead():
+    """A switch drops only the packets between two live hosts.
 
-    Both are fine. Probes through a third host find it out.
+    Probes through a third host must show that both are alive.
     """
     net = member_net.MemberNet(7)
     net.run(10)
@@ -55,23 +55,24 @@
         assert 'dead' not in _statuses(net, 'h002')
 
 
-def test_restarted_host_is_not_its_former_self():
+def test_restarted_host_has_a_new_incarnation():
     net = member_net.MemberNet(7)
     net.run(10)
     net.down.add('h003')
     net.run(1)
     net.start('h003', 7, incarnation=2)
     net.run(10)
-    for seer in net.hosts:
-        claim = net.hosts[seer].view(net.now_s).find('h003')
+    for observer in net.hosts:
+        claim = net.hosts[observer].view(net.now_s).find('h003')
         assert claim.incarnation == 2
         assert claim.status == 'alive'
 
 
 def test_restart_with_a_clock_that_went_back():
-    """A host comes back with an older clock than it died with.
+    """A host restarts with a clock that is behind its former one.
 
-    Taken by its word it would be an old claim, and dead for ever.
+    Its incarnation is then lower than before. Unless the host raises it,
+    the others discard its claims and consider it dead forever.
     """
     net = member_net.MemberNet(7)
     net.run(10)
@@ -83,13 +84,13 @@
     assert _statuses(net, 'h003') == {'alive'}
 
 
-def test_leaving_is_told_from_dying():
+def test_leaving_host_is_not_considered_dead():
     net = member_net.MemberNet(7)
     net.run(10)
     net.hosts['h004'].start_leaving()
     net.run(8)
-    for seer in net.hosts:
-        claim = net.hosts[seer].view(net.now_s).find('h004')
+    for observer in net.hosts:
+        claim = net.hosts[observer].view(net.now_s).find('h004')
         assert claim.status == 'alive' and claim.leaving
     net.send('h004', net.hosts['h004'].leave(net.now_s))
     net.run(0.1)
@@ -98,7 +99,7 @@
     assert _statuses(net, 'h004') == {'left'}
 
 
-def test_partition_heals_after_both_sides_gave_up():
+def test_partition_heals_after_each_side_declared_the_other_dead():
     net = member_net.MemberNet(7)
     net.run(10)
     names = list(net.hosts)
@@ -113,10 +114,10 @@
 
 
 def test_frozen_host_that_wakes_suspects_nobody():
-    """A host is stopped for 20 s and continues.
+    """A host's process is stopped for 20 s and continues.
 
-    All its open probes are overdue at that moment. It must not spread
-    that the others are suspect.
+    All its open probes are overdue then. It must not declare the other
+    hosts suspect.
     """
     net = member_net.MemberNet(7)
     net.run(10)
@@ -129,7 +130,7 @@
     assert _statuses(net, 'h005') == {'alive'}
 
 
-def test_view_counts_whose_own_words_arrived():
+def test_view_has_hosts_whose_messages_arrived_recently():
     net = member_net.MemberNet(7)
     net.run(20)
     view = net.hosts['h000'].view(net.now_s)
@@ -156,7 +157,7 @@
     net.run(20)
     config = membership_config.MembershipConfig()
     most = config.max_claims + config.page_claims
-    assert net.biggest < 90 * (most + 2)
+    assert net.largest_message_bytes < 90 * (most + 2)
 
 
 def test_codec_keeps_every_field():
@@ -178,6 +179,6 @@
 
 
 @pytest.mark.parametrize('data', [b'', b'[]', b'{"k":"ping"}', b'{"k":1}'])
-def test_codec_quotes_what_it_refuses(data):
+def test_codec_quotes_malformed_data(data):
     with pytest.raises(ValueError, match='not a membership message'):
         member_codec.decode(data)
--- a/tests/peers/test_owner_names.py
+++ b/tests/peers/test_owner_names.py
@@ -13,13 +13,13 @@
     )
 
 
-def test_host_that_woke_in_time_has_left_its_old_records_behind():
-    """A host is frozen for longer than its lease and wakes.
+def test_records_of_a_host_that_lost_its_lease_are_taken_over():
+    """A host freezes for longer than its lease and then continues.
 
-    Nobody has taken it for dead yet. It has dropped its records, so
-    the successor must go on with them though their owner is alive: callers
-    were told for 45 s that they are being taken over, and gave up.
-    Seeded faults with seed 2 showed it.
+    It continues before other hosts consider it dead, and drops its
+    records. The successor must take them over although their owner is
+    alive. Otherwise callers were told for 45 s that their requests were
+    being taken over, and gave up.
     """
     view = _view()
     assert not peer_copies.is_gone('e1@7.0', view, lambda host_id: 0)
@@ -27,7 +27,7 @@
     assert not peer_copies.is_gone('e1@7.1', view, lambda host_id: 1)
 
 
-def test_dead_restarted_and_forgotten_hosts_are_gone():
+def test_dead_restarted_and_unknown_hosts_are_gone():
     dead = _view(status=member_status.MemberStatus.DEAD)
     assert peer_copies.is_gone('e1@7.0', dead, lambda host_id: 0)
     assert peer_copies.is_gone('e1@6.0', _view(), lambda host_id: 0)
--- a/tests/peers/test_record_machine.py
+++ b/tests/peers/test_record_machine.py
@@ -1,4 +1,4 @@
-"""Records and attachments over hosts that die, freeze and part."""
+"""Records and attachments under crashes, freezes and partitions."""
 
 import hypothesis
 from hypothesis import stateful
@@ -16,11 +16,11 @@
 
 
 class Records(stateful.RuleBasedStateMachine):
-    """Oracle: for each caller, the events its connections were handed.
+    """Oracle: the events delivered to each connection of each caller.
 
-    Once a newer connection has received anything, an older one must
-    not, on whichever hosts they are. A blind repeat is handed nothing
-    that any connection of the request was handed before.
+    Once a newer connection has received an event, older connections of
+    the request must receive none, on any host. A repeat without an event
+    id receives no event that was delivered on any connection before.
     """
 
     world_class = record_world.RecordWorld
@@ -45,7 +45,7 @@
         back=strategies.sampled_from([0, 1]),
     )
     def resume(self, name, back):
-        """Every caller comes back to a host with its Last-Event-ID."""
+        """Each caller reconnects to a host with its Last-Event-ID."""
         for request_id, caller in self.world.callers.items():
             if not caller.delivered:
                 continue
@@ -54,7 +54,7 @@
                 self.world.deliver(request_id)
 
     @stateful.rule(name=strategies.sampled_from(HOSTS))
-    def repeat_blindly(self, name):
+    def repeat_without_event_id(self, name):
         for request_id, caller in self.world.callers.items():
             before = set(caller.delivered)
             if not self.world.connect(request_id, name, None):
@@ -108,11 +108,11 @@
         self.world.restart(name)
 
     @stateful.invariant()
-    def one_owner_at_most_may_deliver(self):
+    def at_most_one_owner_may_deliver(self):
         for request_id in self.world.callers:
             owners = [
                 name
-                for name in self.world.has_it(request_id)
+                for name in self.world.hosts_of(request_id)
                 if self.world.may_deliver(name)
             ]
             assert len(owners) <= 1, owners
@@ -174,7 +174,7 @@
 
 
 def _lose_the_owner(world):
-    """A caller reads two events, and its host is killed."""
+    """Kill the host of a caller that has read two events."""
     request_id = world.submit('a')
     world.deliver(request_id)
     world.deliver(request_id)
@@ -188,14 +188,14 @@
 
 
 def test_caller_resumes_at_the_successor_after_a_kill():
-    """A clerk reads a verdict when the entry host loses power.
+    """An entry host loses power while a caller reads from it.
 
-    The clerk's program reconnects with the last event's id. The host
-    that holds the copy goes on exactly after it, in the same run.
+    The caller reconnects with the id of its last event. The successor
+    must continue the same run with the next event.
     """
     world = record_world.RecordWorld()
     request_id = _lose_the_owner(world)
-    (successor,) = world.has_it(request_id)
+    (successor,) = world.hosts_of(request_id)
     assert successor != 'a'
     assert world.connect(request_id, successor, 1)
     world.deliver(request_id)
@@ -203,34 +203,34 @@
 
 
 def test_copy_after_the_first_event_is_caught():
-    """The same, with a host that copies the record a little later.
+    """The host is killed before it has copied the record.
 
-    The copy is lost with the host, and the caller's event id names a
-    run that nobody knows.
+    With a delivery before the copy, the record is lost with the host,
+    and no host has a record for the caller's event id.
     """
 
     class World(record_world.RecordWorld):
-        copy_first = False
+        copies_before_delivery = False
 
     world = World()
     request_id = _lose_the_owner(world)
-    assert world.has_it(request_id) == []
+    assert world.hosts_of(request_id) == []
 
 
 def test_blind_repeat_after_a_kill_is_not_given_events_again():
     world = record_world.RecordWorld()
     request_id = _lose_the_owner(world)
-    (successor,) = world.has_it(request_id)
+    (successor,) = world.hosts_of(request_id)
     record = world.records[successor][request_id]
     assert record.delivery_unsure
     assert not world.connect(request_id, successor, None)
 
 
 def test_frozen_owner_that_wakes_cannot_write():
-    """A host stops for 20 s in the middle of a stream and goes on.
+    """A host freezes for 20 s during a stream and then continues.
 
-    Meanwhile the caller has read on elsewhere. What the old host still
-    has for the old connection must not go out.
+    Meanwhile the caller has resumed at another host. The frozen host
+    must write no more events to the old connection.
     """
     world = record_world.RecordWorld()
     request_id = world.submit('a')
@@ -240,7 +240,7 @@
         world.cut = {('a', 'b'), ('b', 'a'), ('a', 'c'), ('c', 'a')}
         world.tick('b')
         world.tick('c')
-    names = world.has_it(request_id)
+    names = world.hosts_of(request_id)
     assert len(names) == 2
     (successor,) = [name for name in names if name != 'a']
     assert world.connect(request_id, successor, 0)
@@ -249,11 +249,11 @@
     assert (old.got, new.got) == (['run1-0'], ['run1-1'])
     world.cut.clear()
     world.tick('a')
-    assert world.has_it(request_id) == [successor]
+    assert world.hosts_of(request_id) == [successor]
 
 
 def test_second_host_may_fail_once_the_record_was_copied_again():
-    """The host with the copy dies, and then the one with the record."""
+    """The host with the copy dies, and later the host with the record."""
     world = record_world.RecordWorld()
     request_id = world.submit('a')
     world.deliver(request_id)
@@ -267,14 +267,14 @@
     for _ in range(30):
         world.real_s += 0.5
         world.tick_all()
-    assert len(world.has_it(request_id)) == 1
+    assert len(world.hosts_of(request_id)) == 1
 
 
 def test_old_copy_gives_way_to_the_newer_one():
-    """The link to the first copy holder breaks; the copy moves on.
+    """The link to the first successor breaks; another one is chosen.
 
-    When the owner dies later, the first holder's old copy must not
-    become a second owner.
+    When the owner dies later, the first successor still has an outdated
+    copy. It must not take over as well.
     """
     world = record_world.RecordWorld()
     request_id = world.submit('a')
@@ -291,16 +291,16 @@
     for _ in range(30):
         world.real_s += 0.5
         world.tick_all()
-    assert world.has_it(request_id) == [second]
+    assert world.hosts_of(request_id) == [second]
     assert len(world.copies[first]) == 0
 
 
 def test_old_copy_gives_way_though_the_first_votes_are_lost():
-    """As before, and the votes for the old copy's holder are lost once.
+    """The first votes for the host with the outdated copy are lost.
 
-    The voters have noted its lease by then, and one of them is the
-    owner, which has forgotten all. There must be one new owner and not
-    two, whichever of the copies it goes on from.
+    The voters have already stored its lease, and one of them, the
+    restarted owner, has lost its state. There must be exactly one new
+    owner, whichever copy it continues from.
     """
     world = record_world.RecordWorld()
     request_id = world.submit('a')
@@ -322,7 +322,7 @@
     for _ in range(40):
         world.real_s += 0.5
         world.tick_all()
-    assert len(world.has_it(request_id)) == 1
+    assert len(world.hosts_of(request_id)) == 1
     assert all(owner not in got.owners for got in world.copies.values())
 
 
@@ -336,11 +336,11 @@
     assert not record.is_current(attachment)
 
 
-def test_end_that_may_have_been_told_is_not_told_again():
+def test_end_that_may_have_been_delivered_is_not_delivered_again():
     """A host is lost right after it wrote the end of an answer.
 
-    The successor cannot know if the caller read it. A blind repeat must
-    be told that it was delivered, and not be given it a second time.
+    The caller may have read it. The successor must treat the end as
+    delivered, so that a repeat does not receive it a second time.
     """
     world = record_world.RecordWorld()
     request_id = world.submit('a')
@@ -353,7 +353,7 @@
     for _ in range(30):
         world.real_s += 0.5
         world.tick_all()
-    (successor,) = world.has_it(request_id)
+    (successor,) = world.hosts_of(request_id)
     assert world.records[successor][request_id].end_delivered
 
 
--- a/tests/peers/test_small_parts.py
+++ b/tests/peers/test_small_parts.py
@@ -7,8 +7,8 @@
 from limpetroute.peers import zone_cost
 
 
-def _check(part, now_s, *, claimed=(), unsure=False, runs=('x',), start=1):
-    return part.check(
+def _check(finder, now_s, *, claimed=(), unsure=False, runs=('x',), start=1):
+    return finder.check(
         runner_id='r',
         incarnation=start,
         runs=runs,
@@ -18,46 +18,47 @@
     )
 
 
-def test_run_without_a_record_is_ended_after_the_grace():
-    """Every entry host that knew of a request is gone.
+def test_run_without_a_record_is_ended_after_the_grace_time():
+    """All entry hosts with a record of a request are lost.
 
-    The runner goes on writing for nobody and keeps its slot.
+    Without the reaper, the run continues without a caller and keeps its
+    slot.
     """
-    part = reaper.Reaper(grace_s=5)
-    assert _check(part, 0) == []
-    assert _check(part, 4.9) == []
-    assert _check(part, 5.0) == ['x']
+    finder = reaper.Reaper(grace_s=5)
+    assert _check(finder, 0) == []
+    assert _check(finder, 4.9) == []
+    assert _check(finder, 5.0) == ['x']
 
 
-def test_slow_request_that_is_claimed_now_and_then_is_left_alone():
-    part = reaper.Reaper(grace_s=5)
+def test_slow_request_with_occasional_claims_is_left_alone():
+    finder = reaper.Reaper(grace_s=5)
     for step in range(20):
         assert (
-            _check(part, 4.0 * step, claimed={'x'} if step % 2 else ()) == []
+            _check(finder, 4.0 * step, claimed={'x'} if step % 2 else ()) == []
         )
 
 
 def test_run_being_taken_over_is_left_alone():
-    """Its host just died and is only suspected; nobody can claim it."""
-    part = reaper.Reaper(grace_s=5)
-    _check(part, 0)
-    assert _check(part, 6, unsure=True) == []
-    assert _check(part, 7) == []
-    assert _check(part, 13) == ['x']
+    """The host of the run is suspect, so no live host claims the run yet."""
+    finder = reaper.Reaper(grace_s=5)
+    _check(finder, 0)
+    assert _check(finder, 6, unsure=True) == []
+    assert _check(finder, 7) == []
+    assert _check(finder, 13) == ['x']
 
 
-def test_restarted_runner_starts_the_time_anew():
-    part = reaper.Reaper(grace_s=5)
-    _check(part, 0)
-    assert _check(part, 6, start=2) == []
-    assert _check(part, 11, start=2) == ['x']
+def test_restarted_runner_restarts_the_grace_time():
+    finder = reaper.Reaper(grace_s=5)
+    _check(finder, 0)
+    assert _check(finder, 6, start=2) == []
+    assert _check(finder, 11, start=2) == ['x']
 
 
-def test_run_that_ended_is_forgotten():
-    part = reaper.Reaper(grace_s=5)
-    _check(part, 0)
-    _check(part, 1, runs=())
-    assert _check(part, 6) == []
+def test_ended_run_is_dropped():
+    finder = reaper.Reaper(grace_s=5)
+    _check(finder, 0)
+    _check(finder, 1, runs=())
+    assert _check(finder, 6) == []
 
 
 def test_budget_shrinks_over_two_hosts_and_never_grows():
@@ -71,12 +72,12 @@
     )
     assert got.attempts_left == 2
     assert got.remaining_s(900.0) == 6.0
-    bold = {
+    excessive = {
         request_budget.DEADLINE_HEADER: '999999999',
         request_budget.ATTEMPTS_HEADER: '99',
     }
     got = request_budget.RequestBudget.from_headers(
-        bold, now_s=100.0, most=most
+        excessive, now_s=100.0, most=most
     )
     assert got == most
 
@@ -123,7 +124,7 @@
     ) == ['n1', 'a1', 'i1', 'm2']
 
 
-def test_unknown_zone_counts_as_far():
+def test_unknown_zone_counts_as_far_away():
     hosts = [('x', 'elsewhere'), ('a1', 'anderlecht')]
     assert zone_cost.rank_heirs(
         zone='evere', hosts=hosts, costs=FEDERATION
@@ -131,7 +132,7 @@
 
 
 def test_lease_codec_keeps_every_field():
-    ask = lease_message.LeaseRequest(
+    request = lease_message.LeaseRequest(
         number=3,
         holder_id='a',
         wants=(
@@ -143,7 +144,7 @@
             ),
         ),
     )
-    assert lease_codec.decode_ask(lease_codec.encode_ask(ask)) == ask
+    assert lease_codec.decode_ask(lease_codec.encode_ask(request)) == request
     vote = lease_message.LeaseVote(
         number=3,
         voter_id='v',
@@ -162,6 +163,6 @@
 
 
 @pytest.mark.parametrize('data', [b'', b'{}', b'[1,2]', b'[1,"a",[1],[]]'])
-def test_lease_codec_quotes_what_it_refuses(data):
+def test_lease_codec_quotes_malformed_data(data):
     with pytest.raises(ValueError, match='not a lease message'):
         lease_codec.decode_ask(data)
