--- a/tests/peers/failure_run.py
+++ b/tests/peers/failure_run.py
@@ -1,4 +1,4 @@
-"""Load and seeded faults on a fleet of real processes.
+"""Load and seeded random faults on a fleet of real processes.
 
 ``python -m tests.peers.failure_run --seconds 120 --seed 1`` runs it
 outside CI and prints the counts as JSON.
@@ -21,11 +21,11 @@
 
 CALLERS = 24
 MAX_DOWN = 2
-PATIENCE_S = 45
+READ_TIMEOUT_S = 45
 
 
 class FailureRun:
-    """Callers that resume elsewhere, and faults that make them."""
+    """Runs callers that resume at other hosts, and injects faults."""
 
     def __init__(self, fleet, *, seed, seconds):
         self.fleet = fleet
@@ -33,9 +33,9 @@
         self.seconds = seconds
         self.counts = collections.Counter()
         self.faults = []
-        self.wrong = []
+        self.errors = []
         self.down = set()
-        self.frozen = set()
+        self.faulty_runners = set()
         self.number = 0
 
     async def run(self):
@@ -51,7 +51,7 @@
             **{name: self.counts[name] for name in COUNTED},
             **self.counts,
             'faults': self.faults,
-            'wrong': self.wrong[:5],
+            'wrong': self.errors[:5],
         }
 
     def _host(self):
@@ -78,7 +78,7 @@
 
     async def _read_whole(self, reader):
         loop = asyncio.get_running_loop()
-        due_s = loop.time() + PATIENCE_S
+        due_s = loop.time() + READ_TIMEOUT_S
         tries = 0
         while loop.time() < due_s:
             before = len(reader.texts)
@@ -86,41 +86,44 @@
             tries += 1
             if reader.done:
                 break
-            if self._starts_over(reader):
-                # The caller is told so, and never gets a spliced answer.
+            if self._must_start_over(reader):
+                # The caller must discard its events, or the answer would
+                # be spliced from two runs.
                 self.counts['started_over'] += 1
                 reader.texts.clear()
                 reader.ids.clear()
             if len(reader.texts) == before:
                 await asyncio.sleep(0.3)
         self.counts['resumes'] += tries - 1
-        self._judge(reader)
+        self._check_answer(reader)
 
     @staticmethod
-    def _starts_over(reader):
+    def _must_start_over(reader):
         text = reader.error or b''
         if isinstance(text, dict):
             text = json.dumps(text).encode()
         return b'start_over' in text or b'start over' in text
 
-    def _judge(self, reader):
-        want = answer_text.whole_answer(reader.body['prompt'], reader.words)
+    def _check_answer(self, reader):
+        expected = answer_text.whole_answer(
+            reader.body['prompt'], reader.words
+        )
         tag = answer_text.tag_of(reader.body['prompt'])
         if any(not word.startswith(tag) for word in reader.texts):
-            self._note('crossed', reader)
+            self._record_error('crossed', reader)
         if len(set(reader.ids)) != len(reader.ids):
-            self._note('doubled', reader)
+            self._record_error('doubled', reader)
         if not reader.done:
-            self._note('lost', reader)
+            self._record_error('lost', reader)
             return
-        if reader.text != want:
-            self._note('torn', reader)
+        if reader.text != expected:
+            self._record_error('torn', reader)
             return
         self.counts['whole'] += 1
 
-    def _note(self, kind, reader):
+    def _record_error(self, kind, reader):
         self.counts[kind] += 1
-        self.wrong.append(
+        self.errors.append(
             [kind, reader.key, reader.status, str(reader.error)[:200]]
         )
 
@@ -145,7 +148,7 @@
                 tasks.append(asyncio.create_task(kind()))
         await asyncio.gather(*tasks)
 
-    def _victim(self):
+    def _choose_host_to_fault(self):
         names = [name for name in self.fleet.hosts if name not in self.down]
         if len(self.down) >= MAX_DOWN:
             return None
@@ -154,7 +157,7 @@
         return name
 
     async def _kill_host(self):
-        name = self._victim()
+        name = self._choose_host_to_fault()
         if name is None:
             return
         self.faults.append(f'kill {name}')
@@ -164,7 +167,7 @@
         self.down.discard(name)
 
     async def _freeze_host(self):
-        name = self._victim()
+        name = self._choose_host_to_fault()
         if name is None:
             return
         self.faults.append(f'freeze {name}')
@@ -175,14 +178,14 @@
 
     async def _kill_runner(self):
         name = self.rng.choice(self.fleet.runners)
-        if name in self.frozen:
+        if name in self.faulty_runners:
             return
-        self.frozen.add(name)
+        self.faulty_runners.add(name)
         self.faults.append(f'kill {name}')
         self.fleet.kill(name)
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
         await asyncio.to_thread(self.fleet.start_runner, name)
-        self.frozen.discard(name)
+        self.faulty_runners.discard(name)
 
     async def _break_decode(self):
         await self._set_faults({'fail_decode_after': 5})
@@ -192,14 +195,14 @@
 
     async def _set_faults(self, faults):
         name = self.rng.choice(self.fleet.decodes())
-        if name in self.frozen:
+        if name in self.faulty_runners:
             return
-        self.frozen.add(name)
+        self.faulty_runners.add(name)
         self.faults.append(f'{faults} {name}')
         await asyncio.to_thread(self._post_faults, name, faults)
         await asyncio.sleep(self.rng.uniform(0.5, 2.0))
         await asyncio.to_thread(self._post_faults, name, {})
-        self.frozen.discard(name)
+        self.faulty_runners.discard(name)
 
     def _post_faults(self, name, faults):
         port = self.fleet.runner_ports[name]
@@ -210,7 +213,7 @@
         with contextlib.suppress(OSError):
             urllib.request.urlopen(request, timeout=2).close()
 
-    # -- the runners' own records
+    # -- counts of the runners
 
     async def _check_runners(self):
         def idle():
@@ -227,7 +230,7 @@
             self.counts['kv_held'] += 1
         for name in self.fleet.decodes():
             counts = self.fleet.counts(name)
-            # A runner that was killed has forgotten its counts.
+            # A killed runner has lost its earlier counts.
             self.counts['over_asked'] += counts['counts'].get('over_asked', 0)
             self.counts['started_twice'] += sum(
                 count > 1 for count in counts['run_starts'].values()
--- a/tests/peers/fleet.py
+++ b/tests/peers/fleet.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: entry hosts and stand-in runners."""
+"""A fleet of entry host and stand-in runner processes on loopback."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from tests.whole_path import processes
 
 ZONES = ['evere', 'anderlecht', 'zaventem']
-# Short times, so that a test sees a takeover within seconds.
+# Short durations, so that a takeover happens within seconds.
 PEERS = {
     'probe_period_s': 0.3,
     'probe_timeout_s': 0.3,
@@ -41,9 +41,9 @@
 
 
 class Fleet:
-    """Hosts e0, e1, ... and runners p0, ..., d0, ...
+    """Entry hosts e0, e1, ..., prefill runners p0, ... and decodes d0, ...
 
-    Ports stay the same when a host is started again.
+    A host that is started again keeps its ports.
     """
 
     def __init__(
@@ -91,14 +91,14 @@
 
     def start_host(self, name, wait=True):
         self.starts += 1
-        place = self.hosts.index(name)
+        index = self.hosts.index(name)
         listen = {'port': self.caller_ports[name]}
         self.processes[name] = processes.Process(
             'entry',
             {
                 'demo': True,
                 'host_id': name,
-                'zone': ZONES[place % 3],
+                'zone': ZONES[index % 3],
                 'zones': ZONES,
                 'listen': listen,
                 'internal_listen': {'port': self.internal_ports[name]},
@@ -154,10 +154,10 @@
     def status(self, name):
         return get(self.internal_ports[name], '/v1/peers/status')
 
-    async def until(self, found, *, seconds, what):
+    async def until(self, condition, *, seconds, what):
         for _ in range(int(seconds / 0.1)):
             try:
-                if await asyncio.to_thread(found):
+                if await asyncio.to_thread(condition):
                     return
             except OSError:
                 pass
@@ -193,7 +193,7 @@
 
 
 class Reader:
-    """A caller that reads a stream and knows what it was handed."""
+    """A caller that reads a stream and keeps the received events."""
 
     def __init__(self, fleet, *, prompt, key, words=40):
         self.fleet = fleet
@@ -217,7 +217,7 @@
         return ''.join(self.texts)
 
     async def read(self, host, *, limit=None, resume=True):
-        """Read until the end, ``limit`` events or a broken stream."""
+        """Read until the end, ``limit`` events or an interrupted stream."""
         self.error = None
         headers = {'Idempotency-Key': self.key}
         if resume and self.ids:
@@ -247,12 +247,12 @@
             link.close()
 
     async def _events(self, link, limit):
-        rest = b''
+        partial = b''
         count = 0
         event_id = None
         async for chunk in link.chunks(idle_timeout_s=8):
-            lines = (rest + chunk).split(b'\n')
-            rest = lines.pop()
+            lines = (partial + chunk).split(b'\n')
+            partial = lines.pop()
             for line in lines:
                 if line.startswith(b'id: '):
                     event_id = line[4:].decode()
--- a/tests/peers/oversubscription_run.py
+++ b/tests/peers/oversubscription_run.py
@@ -1,6 +1,8 @@
-"""A burst on seven hosts, each counting alone and then with leases.
+"""Measures a burst on seven hosts, without and with leases.
 
-``python -m tests.peers.oversubscription_run`` prints a line for each.
+Without leases, each host counts a runner's capacity on its own.
+``python -m tests.peers.oversubscription_run`` prints one line for each
+of the two cases.
 """
 
 import asyncio
@@ -15,7 +17,7 @@
 
 
 async def _burst(fleet, *, count, words, gap_s):
-    """Return how many answers were whole, and the first tokens' times."""
+    """Return the number of complete answers and the times to first token."""
     first_s = []
 
     async def one(number):
@@ -26,10 +28,12 @@
             key=f'{count}-{number}',
             words=words,
         )
-        began_s = time.monotonic()
-        watching = asyncio.create_task(_first_token(reader, began_s, first_s))
+        started_s = time.monotonic()
+        first_token_task = asyncio.create_task(
+            _first_token(reader, started_s, first_s)
+        )
         await reader.read(fleet.hosts[number % len(fleet.hosts)])
-        watching.cancel()
+        first_token_task.cancel()
         return reader
 
     readers = await asyncio.gather(*(one(number) for number in range(count)))
@@ -37,10 +41,10 @@
     return sum(reader.done for reader in readers), first_s
 
 
-async def _first_token(reader, began_s, first_s):
+async def _first_token(reader, started_s, first_s):
     while not reader.texts:
         await asyncio.sleep(0.002)
-    first_s.append(time.monotonic() - began_s)
+    first_s.append(time.monotonic() - started_s)
 
 
 def _totals(fleet):
@@ -57,7 +61,7 @@
     return totals
 
 
-async def _story(fleet):
+async def _measure(fleet):
     if fleet.alone:
         await asyncio.sleep(3)
     else:
@@ -85,7 +89,7 @@
             fleet = fleet_module.Fleet(pathlib.Path(folder), alone=alone)
             try:
                 fleet.start()
-                print(json.dumps(asyncio.run(_story(fleet))), flush=True)
+                print(json.dumps(asyncio.run(_measure(fleet))), flush=True)
             finally:
                 fleet.stop()
     return 0
--- a/tests/peers/record_world.py
+++ b/tests/peers/record_world.py
@@ -221,7 +221,7 @@
         return [name for name in RATES if request_id in self.records[name]]
 
     def deliver(self, request_id):
-        """Have each host write one event to each connection that is current."""
+        """Have each host write one event to each current connection."""
         caller = self.callers[request_id]
         for item in list(caller.connections):
             record = self.records[item.host].get(request_id)
--- a/tests/peers/test_copy_batches.py
+++ b/tests/peers/test_copy_batches.py
@@ -12,7 +12,7 @@
 MAX_BATCH_CHARS = 300_000
 
 
-def test_a_new_heir_gets_all_copies_over_a_slow_link():
+def test_new_successor_gets_all_copies_over_a_slow_link():
     """The successor changes while 100 records with long prompts are kept.
 
     The new successor needs all records whole. A batch of 64 whole
--- a/tests/peers/test_failure_run.py
+++ b/tests/peers/test_failure_run.py
@@ -5,11 +5,11 @@
 
 
 def test_seeded_faults_lose_no_answer(tmp_path):
-    """Hosts and runners die, freeze, stall and come back, under load.
+    """Hosts and runners die, freeze, stall and restart under load.
 
-    Callers resume wherever they get through. None may miss a word, get
-    one twice, or get another caller's; no runner may be asked for more
-    than it has, or be left with a run that nobody reads.
+    Callers resume at any host that answers. No caller may miss a word,
+    receive one twice, or receive one of another caller. No runner may be
+    filled beyond its capacity or be left with a run that has no caller.
     """
     fleet = fleet_module.Fleet(tmp_path)
     try:
--- a/tests/peers/test_manifest_from_peers.py
+++ b/tests/peers/test_manifest_from_peers.py
@@ -6,19 +6,19 @@
 from limpetroute.entry import server as entry_server
 from tests.peers import fleet as fleet_module
 
-NOWHERE = 'http://127.0.0.1:9'
+UNREACHABLE_URL = 'http://127.0.0.1:9'
 
 
-def _server(ports, place):
+def _server(ports, index):
     return entry_server.EntryServer(
         settings=entry_settings.EntrySettings.model_validate(
             {
                 'demo': True,
-                'host_id': f'e{place}',
+                'host_id': f'e{index}',
                 'zone': 'evere',
                 'zones': ['evere'],
-                'internal_listen': {'port': ports[place]},
-                'control_urls': [NOWHERE],
+                'internal_listen': {'port': ports[index]},
+                'control_urls': [UNREACHABLE_URL],
                 'peer_urls': [f'http://127.0.0.1:{port}' for port in ports],
                 'peers': {**fleet_module.PEERS, 'voters': ['e0', 'e1', 'e2']},
             }
@@ -26,25 +26,27 @@
     )
 
 
-async def _until(true, seconds=15):
+async def _until(condition, seconds=15):
     until_s = time.monotonic() + seconds
-    while not true():
-        assert time.monotonic() < until_s, 'never came true'
+    while not condition():
+        assert time.monotonic() < until_s, (
+            f'condition not met within {seconds} s'
+        )
         await asyncio.sleep(0.05)
 
 
 def test_host_cut_off_from_control_learns_from_its_peers():
-    """A partition hides every control host from two entry hosts.
+    """A partition cuts off two entry hosts from all control hosts.
 
-    An operator's manifest reaches the third one. The other two must
-    have it in force as well, though they hear only their peers; a later
-    offer of an older one changes nothing, and hearing a peer does not
-    count as hearing control.
+    An operator's manifest reaches a third entry host. The other two must
+    receive it from their peers and apply it. An older manifest offered
+    later must change nothing, and a message from a peer must not count
+    as contact with a control host.
     """
 
-    async def story():
+    async def scenario():
         ports = fleet_module.free_ports(3)
-        servers = [_server(ports, place) for place in range(3)]
+        servers = [_server(ports, index) for index in range(3)]
         for server in servers:
             server.start()
         hosts = [server.host for server in servers]
@@ -58,4 +60,4 @@
         finally:
             await asyncio.gather(*(server.stop() for server in servers))
 
-    asyncio.run(asyncio.wait_for(story(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
--- a/tests/peers/test_seven_hosts.py
+++ b/tests/peers/test_seven_hosts.py
@@ -17,7 +17,7 @@
         made.stop()
 
 
-def _want(reader):
+def _expected_text(reader):
     return answer_text.whole_answer(reader.body['prompt'], reader.words)
 
 
@@ -38,14 +38,14 @@
 
 
 async def _kill_and_resume(fleet):
-    """The story of `test_killed_host`, in order."""
+    """A caller's host is killed, and the caller resumes elsewhere."""
     reader = fleet_module.Reader(
         fleet, prompt='Wording one\nIt is long.', key='k1', words=150
     )
     await reader.read('e1', limit=5)
     assert reader.status == 200
     assert len(reader.texts) == 5
-    # The caller is still reading when its host goes.
+    # The caller is still reading when its host is killed.
     reading = asyncio.create_task(reader.read('e1'))
     await asyncio.sleep(0.5)
     fleet.kill('e1')
@@ -57,7 +57,7 @@
             break
         await asyncio.sleep(0.5)
     assert reader.done, (reader.status, reader.error)
-    assert reader.text == _want(reader)
+    assert reader.text == _expected_text(reader)
     runs = {event_id.rpartition('-')[0] for event_id in reader.ids}
     assert len(runs) == 1
     assert all(count == 1 for count in _starts(fleet).values())
@@ -80,7 +80,7 @@
     assert len(_starts(fleet)) == before + 1
 
 
-async def _freeze_and_wake(fleet):
+async def _freeze_and_continue(fleet):
     reader = fleet_module.Reader(
         fleet, prompt='Wording three', key='k3', words=220
     )
@@ -103,13 +103,13 @@
     await newer.read('e6')
     await old
     assert newer.done
-    assert newer.text == _want(newer)
-    # What was in the kernel's buffers before the freeze may arrive.
+    assert newer.text == _expected_text(newer)
+    # Events in the kernel's socket buffers may still arrive.
     assert len(reader.texts) - got_before <= 3
 
 
 async def _fill(fleet):
-    """More requests than slots from all hosts at once."""
+    """Send more requests than slots to all hosts at once."""
     readers = [
         fleet_module.Reader(
             fleet, prompt=f'Dossier {n}\nbody', key=f'f{n}', words=20
@@ -123,7 +123,7 @@
             for n, reader in enumerate(readers)
         )
     )
-    wrong = [r for r in readers if r.done and r.text != _want(r)]
+    wrong = [r for r in readers if r.done and r.text != _expected_text(r)]
     assert wrong == []
     done = sum(reader.done for reader in readers)
     refused = sum(reader.status in (429, 503) for reader in readers)
@@ -132,7 +132,7 @@
     assert _over_asked(fleet) == 0
 
 
-async def _nothing_is_held(fleet):
+async def _no_run_remains(fleet):
     def idle():
         return all(
             not fleet.counts(name)['active'] for name in fleet.decodes()
@@ -142,22 +142,22 @@
 
 
 def test_answers_survive_their_hosts(fleet):
-    """Seven entry hosts; one is killed, one is frozen and wakes.
-
-    A clerk whose host is killed reads the rest of the same answer at
-    another host, from the same run. The same request sent to two hosts
-    at once runs once and is answered once. A host that was frozen while
-    its caller read on elsewhere adds nothing to the old connection.
-    Under more load than there are slots no runner is asked for more
-    than it has, and in the end no run is left that nobody reads.
+    """Of seven entry hosts, one is killed and one freezes for a while.
+
+    A caller whose host is killed must read the remainder of the answer
+    at another host, from the same run. A request sent to two hosts at
+    once must run once and be answered once. A host that froze while its
+    caller resumed elsewhere must add nothing to the old connection. With
+    more requests than slots, no runner may be filled beyond its
+    capacity, and no run may remain without a caller.
     """
 
-    async def story():
+    async def scenario():
         await fleet.until_ready()
         await _repeat_elsewhere(fleet)
         await _kill_and_resume(fleet)
-        await _freeze_and_wake(fleet)
+        await _freeze_and_continue(fleet)
         await _fill(fleet)
-        await _nothing_is_held(fleet)
+        await _no_run_remains(fleet)
 
-    asyncio.run(asyncio.wait_for(story(), 90))
+    asyncio.run(asyncio.wait_for(scenario(), 90))
--- a/tests/peers/test_silent_peer.py
+++ b/tests/peers/test_silent_peer.py
@@ -17,14 +17,14 @@
 
 
 def test_silent_connection_between_hosts_costs_one_deadline():
-    """Something between two hosts loses track of a connection.
+    """A middlebox between two hosts drops the packets of one connection.
 
-    Both hosts live, its packets are dropped for ever, and new
-    connections are fine. The call on it ends at its deadline, and the
-    next one goes through.
+    Both hosts are alive, and new connections work. The call on the
+    dropped connection must fail at its deadline, and the next call must
+    succeed.
     """
 
-    async def story():
+    async def scenario():
         server = tornado.httpserver.HTTPServer(
             tornado.web.Application([('/v1/peers/members', _SlowHandler)])
         )
@@ -45,4 +45,4 @@
         server.stop()
         await server.close_all_connections()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/peers/test_three_hosts.py
+++ b/tests/peers/test_three_hosts.py
@@ -38,14 +38,14 @@
 
 
 def test_runs_of_lost_records_end(fleet):
-    """Every entry host loses power at once.
+    """All entry hosts lose power at once.
 
-    Their callers' runs go on at the runner, and no record of them is
-    left anywhere. After the hosts are back, the runs are ended within
-    the grace; a request that is being read meanwhile is not.
+    Their runs continue at the runner, and all records of them are lost.
+    After the hosts have restarted, these runs must be ended when the
+    grace time is over, but not a new request that is being read.
     """
 
-    async def story():
+    async def scenario():
         await fleet.until_ready()
         lost = [_reader(fleet, f'lost{n}', 4000) for n in range(3)]
         await asyncio.gather(
@@ -74,17 +74,17 @@
             slow.body['prompt'], slow.words
         )
 
-    asyncio.run(asyncio.wait_for(story(), 90))
+    asyncio.run(asyncio.wait_for(scenario(), 90))
 
 
 def test_leaving_host_hands_its_streams_over(fleet):
-    """A host is stopped gracefully while it writes a long answer.
+    """A host is stopped gracefully while it sends a long answer.
 
-    The drain's time ends before the answer does. The caller reads the
-    rest at another host, from the same run.
+    The drain timeout ends before the answer. The caller must read the
+    remainder at another host, from the same run.
     """
 
-    async def story():
+    async def scenario():
         await fleet.until_ready()
         reader = _reader(fleet, 'long', 180)
         reading = asyncio.create_task(reader.read('e1'))
@@ -100,17 +100,18 @@
         counts = fleet.counts('d0')
         assert max(counts['run_starts'].values()) == 1
 
-    asyncio.run(asyncio.wait_for(story(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
 def test_dead_runner_and_dead_host_at_once(fleet):
     """The host and the decode runner of an answer die together.
 
-    Nothing can be resumed. The next host continues from the prompt and
-    the words that were copied, and the caller gets one whole answer.
+    The run cannot be resumed. The successor must continue from the
+    prompt and the copied words, so that the caller receives the complete
+    answer once.
     """
 
-    async def story():
+    async def scenario():
         await fleet.until_ready()
         reader = _reader(fleet, 'both', 60)
         await reader.read('e1', limit=5)
@@ -123,4 +124,4 @@
             reader.body['prompt'], reader.words
         )
 
-    asyncio.run(asyncio.wait_for(story(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
