--- a/limpetroute/peers/grant.py
+++ b/limpetroute/peers/grant.py
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotHolder:
-    """The asked host does not grant capacity at the runner.
+    """The host does not hold the lease, so it cannot grant capacity.
 
     Parameters
     ----------
--- a/limpetroute/peers/grant_coordinator.py
+++ b/limpetroute/peers/grant_coordinator.py
@@ -180,8 +180,8 @@
         self._open_books(now_s)
         for runner_id in list(self._books):
             out += self._move(runner_id, now_s)
-        for voter_id, ask in self._holder.tick(now_s):
-            out.append(GrantMessage(host_id=voter_id, message=ask))
+        for voter_id, request in self._holder.tick(now_s):
+            out.append(GrantMessage(host_id=voter_id, message=request))
         return out
 
     def on_vote(self, vote: lease_message.LeaseVote, now_s: float) -> None:
--- a/tests/peers/test_lease_machine.py
+++ b/tests/peers/test_lease_machine.py
@@ -83,8 +83,8 @@
     @stateful.precondition(lambda self: self.late)
     @stateful.rule(data=strategies.data())
     def deliver_late(self, data):
-        place = data.draw(strategies.integers(0, len(self.late) - 1))
-        self._request(*self.late.pop(place))
+        index = data.draw(strategies.integers(0, len(self.late) - 1))
+        self._request(*self.late.pop(index))
 
     @stateful.rule(
         one=strategies.sampled_from(HOSTS), two=strategies.sampled_from(HOSTS)
--- a/tests/peers/test_manifest_from_peers.py
+++ b/tests/peers/test_manifest_from_peers.py
@@ -30,7 +30,7 @@
     until_s = time.monotonic() + seconds
     while not condition():
         assert time.monotonic() < until_s, (
-            f'condition not met within {seconds} s'
+            'condition not met in time'
         )
         await asyncio.sleep(0.05)
 
--- a/tests/peers/test_owner_names.py
+++ b/tests/peers/test_owner_names.py
@@ -18,8 +18,8 @@
 
     It continues before other hosts consider it dead, and drops its
     records. The successor must take them over although their owner is
-    alive. Otherwise callers were told for 45 s that their requests were
-    being taken over, and gave up.
+    alive. Otherwise each resume was answered for 45 s with the error that
+    the request is being taken over, until the callers gave up.
     """
     view = _view()
     assert not peer_copies.is_gone('e1@7.0', view, lambda host_id: 0)
