--- a/limpetroute/peers/reaper.py
+++ b/limpetroute/peers/reaper.py
@@ -84,7 +84,7 @@
                 due.append(run_id)
         return due
 
-    def forget(self, runner_id: str) -> None:
+    def remove_runner(self, runner_id: str) -> None:
         """Drop the state of a runner whose lease this host no longer holds."""
         for key in list(self._unclaimed):
             if key[0] == runner_id:
--- a/tests/peers/record_world.py
+++ b/tests/peers/record_world.py
@@ -33,6 +33,8 @@
 
 
 class RecordWorld:
+    """Simulated hosts that keep, copy and take over request records."""
+
     voter_class = lease_voter.LeaseVoter
     copies_before_delivery = True
 
--- a/tests/peers/test_manifest_from_peers.py
+++ b/tests/peers/test_manifest_from_peers.py
@@ -29,9 +29,7 @@
 async def _until(condition, seconds=15):
     until_s = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < until_s, (
-            'condition not met in time'
-        )
+        assert time.monotonic() < until_s, 'condition not met in time'
         await asyncio.sleep(0.05)
 
 
