--- a/limpetroute/peers/membership_config.py
+++ b/limpetroute/peers/membership_config.py
@@ -31,8 +31,8 @@
     page_claims : int
         Most claims in a requested page.
     retransmits : int
-        Factor for how often a changed claim is sent: this many times
-        1 plus log2 of the number of hosts.
+        Factor for how often a changed claim is sent; the number grows
+        with log2 of the number of hosts.
     frozen_s : float
         A longer gap between two ticks means that this process was not
         running, so its open probes are no evidence about other hosts.
