--- a/limpetroute/bench/peer_costs.py
+++ b/limpetroute/bench/peer_costs.py
@@ -14,7 +14,7 @@
 import time
 
 from limpetroute.peers import grant_config
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import lease_codec
 from limpetroute.peers import lease_config
 from limpetroute.peers import lease_message
@@ -94,7 +94,7 @@
         }
         leases = lease_config.LeaseConfig(duration_s=lease_s, renew_s=renew_s)
         self._desks = {
-            name: grant_desk.GrantDesk(
+            name: grant_coordinator.GrantCoordinator(
                 host_id=name,
                 zone=f'zone-{place % 24}',
                 voters=self._voters,
@@ -162,12 +162,12 @@
             self._post(name, target, member_codec.encode(send.message))
         desk = self._desks[name]
         for item in desk.tick(self._now_s, fence_floor=1):
-            if not isinstance(item.message, lease_message.LeaseAsk):
+            if not isinstance(item.message, lease_message.LeaseRequest):
                 continue
             self._vote(name, item.host_id, item.message)
 
     def _vote(
-        self, name: str, voter: str, ask: lease_message.LeaseAsk
+        self, name: str, voter: str, ask: lease_message.LeaseRequest
     ) -> None:
         if voter == name:
             vote = self._desks[voter].voter.vote(ask, self._now_s)
--- a/limpetroute/entry/hosting/host.py
+++ b/limpetroute/entry/hosting/host.py
@@ -366,7 +366,7 @@
         """Drop all records, which another host may have taken over."""
         assert self.peers is not None
         for live in self.records:
-            self.peers.copies.sender.let_go(live.record.request_id)
+            self.peers.copies.sender.release(live.record.request_id)
             self.records.discard(live)
             live.handed_over = True
             live.cancel(run_task.TAKEN_OVER)
@@ -378,11 +378,11 @@
             return
         copies = self.peers.copies
         await copies.flush()
-        self.hands_over = bool(copies.sender.heir_id)
+        self.hands_over = bool(copies.sender.successor_id)
         if not self.hands_over:
             return
         for live in self._open:
-            copies.sender.let_go(live.record.request_id)
+            copies.sender.release(live.record.request_id)
 
     def _set_manifest(self, body: manifest_module.ManifestBody) -> None:
         self.manifest = body
@@ -436,7 +436,7 @@
                 LOG.info('runner %s went silent', runner_id)
                 self.scheduler.runner_gone(runner_id)
                 if self.peers is not None:
-                    self.peers.grant_coordinator.runner_gone(runner_id)
+                    self.peers.grant_coordinator.remove_runner(runner_id)
 
 
 def new_request_id() -> str:
--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -130,7 +130,7 @@
 
     def drop_copy(self, request_id: str) -> None:
         """Schedule the removal of the successor's copy of a record."""
-        self.sender.forget(request_id)
+        self.sender.remove(request_id)
 
     async def ensure_copied(self, live: live_record.LiveRecord) -> None:
         """Wait until the successor has the record's newest state.
@@ -141,7 +141,7 @@
         """
         request_id = live.record.request_id
         for _ in range(MAX_COPY_TRIES):
-            if not self.sender.heir_id:
+            if not self.sender.successor_id:
                 break
             if await self._send(only=request_id):
                 return
@@ -149,7 +149,7 @@
 
     async def flush(self) -> None:
         """Send the changes that the successor lacks."""
-        if self.sender.heir_id and not self._sending.locked():
+        if self.sender.successor_id and not self._sending.locked():
             await self._send()
 
     async def _send(self, only: str | None = None) -> bool:
@@ -159,11 +159,11 @@
         return await self._send_batch(only)
 
     async def _send_batch(self, only: str | None) -> bool:
-        heir_id = self.sender.heir_id
+        successor_id = self.sender.successor_id
         batch = self.sender.batch(only)
         if batch is None:
             return True
-        url = self._url_of(heir_id)
+        url = self._url_of(successor_id)
         if url is None:
             return False
         reply = await self._calls.post_and_decode(
@@ -174,7 +174,7 @@
         )
         if reply is None:
             return False
-        self.sender.on_reply(batch, reply, heir_id)
+        self.sender.on_reply(batch, reply, successor_id)
         if not reply.taken:
             return False
         return only is None or self.sender.is_copied(only)
@@ -211,7 +211,7 @@
         dropped its records, and the successor could not take them over
         because their owner would count as alive.
         """
-        self._leases.forsake(HOST_RESOURCE_PREFIX + self._owner)
+        self._leases.relinquish(HOST_RESOURCE_PREFIX + self._owner)
         self._epoch += 1
         self._owner = f'{self._name}.{self._epoch}'
         self.sender = copy_sender.CopySender(owner=self._owner)
@@ -227,20 +227,22 @@
             for item in view.working
             if item.host_id != self._host_id
         }
-        heir_id = self.sender.heir_id
-        if heir_id not in working:
+        successor_id = self.sender.successor_id
+        if successor_id not in working:
             names = rendezvous.ranked(self._owner, working)
             ranked = zone_cost.rank_heirs(
                 zone=self._zone,
                 hosts=[(name, working[name]) for name in names],
                 costs=self._costs,
             )
-            heir_id = ranked[0] if ranked else ''
-            if heir_id != self.sender.heir_id:
-                LOG.info('copies go to host %s', heir_id or '(none)')
-            self.sender.set_heir(heir_id)
-        if heir_id and not self.sender.uncopied:
-            self._leases.name_heir(HOST_RESOURCE_PREFIX + self._owner, heir_id)
+            successor_id = ranked[0] if ranked else ''
+            if successor_id != self.sender.successor_id:
+                LOG.info('copies go to host %s', successor_id or '(none)')
+            self.sender.set_successor(successor_id)
+        if successor_id and not self.sender.uncopied:
+            self._leases.set_successor(
+                HOST_RESOURCE_PREFIX + self._owner, successor_id
+            )
 
     def take_over(self, view: member_view.MemberView) -> None:
         """Take over copies of gone owners whose lease this host obtains."""
@@ -264,12 +266,12 @@
         held = self._leases.held(resource, peer_clock.clock_s())
         if held is None or not self.may_serve:
             return
-        if held.known_heir_id in ('', self._host_id):
+        if held.known_successor_id in ('', self._host_id):
             # The host that takes over first registers as the successor
             # with the voters, so that a later host with another copy
             # sees that the records are taken.
-            self._leases.name_heir(resource, self._host_id)
-            if held.heir_id != self._host_id:
+            self._leases.set_successor(resource, self._host_id)
+            if held.successor_id != self._host_id:
                 return
             found = self.copies.take_over(owner)
             LOG.info('took %d records over from %s', len(found), owner)
--- a/limpetroute/entry/peering/peer_grants.py
+++ b/limpetroute/entry/peering/peer_grants.py
@@ -9,7 +9,7 @@
 from limpetroute.entry.peering import peer_codec
 from limpetroute.peers import grant
 from limpetroute.peers import grant_config
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import grant_ledger
 
 MAX_HOPS = 2
@@ -24,7 +24,7 @@
     ----------
     host_id : str
         This host.
-    coordinator : GrantDesk
+    coordinator : GrantCoordinator
         Grants for the runners that this host leases.
     calls : PeerCalls
         Calls to other hosts.
@@ -49,7 +49,7 @@
         self,
         *,
         host_id: str,
-        coordinator: grant_desk.GrantDesk,
+        coordinator: grant_coordinator.GrantCoordinator,
         calls: peer_calls.PeerCalls,
         url_of: typing.Callable[[str], str | None],
         config: grant_config.GrantConfig,
--- a/limpetroute/entry/peering/peer_node.py
+++ b/limpetroute/entry/peering/peer_node.py
@@ -20,7 +20,7 @@
 from limpetroute.entry.records import record_store
 from limpetroute.peers import copy_holder
 from limpetroute.peers import grant_config
-from limpetroute.peers import grant_desk
+from limpetroute.peers import grant_coordinator
 from limpetroute.peers import hand_over
 from limpetroute.peers import lease_codec
 from limpetroute.peers import lease_config
@@ -99,7 +99,7 @@
             rng=random.Random(f'{host_id}@{self._started_ms}'),
         )
         grants = _grant_config(settings)
-        self.grant_coordinator = grant_desk.GrantDesk(
+        self.grant_coordinator = grant_coordinator.GrantCoordinator(
             host_id=host_id,
             zone=settings.zone,
             voters=peers.voters,
@@ -234,7 +234,7 @@
             },
             'unsure': list(view.unsure),
             'may_serve': self.copies.may_serve,
-            'heir': self.copies.sender.heir_id,
+            'heir': self.copies.sender.successor_id,
             'uncopied': self.copies.sender.uncopied,
             'copies_held': len(self.copies.copies),
             'copies_missed': self.copies.copies_missed,
@@ -339,7 +339,7 @@
             self._handle_member_message(got)
 
     def _send_grant_message(
-        self, item: grant_desk.DeskSend, now_s: float
+        self, item: grant_coordinator.GrantMessage, now_s: float
     ) -> None:
         message = item.message
         if isinstance(message, hand_over.HandOver):
@@ -352,7 +352,7 @@
         self._spawn(self._send_lease_request(item.host_id, message))
 
     async def _send_lease_request(
-        self, host_id: str, message: lease_message.LeaseAsk
+        self, host_id: str, message: lease_message.LeaseRequest
     ) -> None:
         url = self.url_of(host_id)
         if url is None:
@@ -374,7 +374,7 @@
             return
         body = peer_codec.HAND_OVER.encode(message)
         if await self.calls.post(url, 'hand_over', body) is not None:
-            self.grant_coordinator.on_handed(message.runner_id)
+            self.grant_coordinator.on_hand_over_accepted(message.runner_id)
 
     def _spawn(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
--- a/limpetroute/peers/lease_codec.py
+++ b/limpetroute/peers/lease_codec.py
@@ -1,4 +1,4 @@
-"""Compact JSON of lease messages, which never stop flowing."""
+"""Compact JSON of lease messages, which hosts exchange continuously."""
 
 import json
 import typing
@@ -10,24 +10,27 @@
 _T = typing.TypeVar('_T')
 
 
-def encode_ask(ask: lease_message.LeaseAsk) -> bytes:
-    """Encode an ask as lists, in the order of the fields."""
-    wants = [[item.resource, item.fence, item.heir] for item in ask.wants]
+def encode_ask(request: lease_message.LeaseRequest) -> bytes:
+    """Encode a lease request as lists, in the order of the fields."""
+    wants = [
+        [item.resource, item.fence, item.successor] for item in request.wants
+    ]
     releases = [
-        [item.resource, item.fence, item.heir_id] for item in ask.releases
+        [item.resource, item.fence, item.successor_id]
+        for item in request.releases
     ]
-    return _dump([ask.number, ask.holder_id, wants, releases])
+    return _dump([request.number, request.holder_id, wants, releases])
 
 
-def decode_ask(data: bytes) -> lease_message.LeaseAsk:
-    """Decode an ask.
+def decode_ask(data: bytes) -> lease_message.LeaseRequest:
+    """Decode a lease request.
 
     Raises
     ------
     ValueError
-        If it is not one; the text quotes its start.
+        If the data is malformed; the message quotes its start.
     """
-    return _load(data, _ask)
+    return _load(data, _request)
 
 
 def encode_vote(vote: lease_message.LeaseVote) -> bytes:
@@ -39,7 +42,7 @@
             int(item.granted),
             item.highest_fence,
             item.holder_id,
-            item.heir,
+            item.successor,
         ]
         for item in vote.answers
     ]
@@ -52,27 +55,31 @@
     Raises
     ------
     ValueError
-        If it is not one; the text quotes its start.
+        If the data is malformed; the message quotes its start.
     """
     return _load(data, _vote)
 
 
-def _ask(body: typing.Any) -> lease_message.LeaseAsk:
+def _request(body: typing.Any) -> lease_message.LeaseRequest:
     number, holder_id, wants, releases = body
-    return lease_message.LeaseAsk(
+    return lease_message.LeaseRequest(
         number=int(number),
         holder_id=str(holder_id),
         wants=tuple(
             lease_message.LeaseWant(
-                resource=str(resource), fence=int(fence), heir=str(heir)
+                resource=str(resource),
+                fence=int(fence),
+                successor=str(successor),
             )
-            for resource, fence, heir in wants
+            for resource, fence, successor in wants
         ),
         releases=tuple(
             lease_message.LeaseRelease(
-                resource=str(resource), fence=int(fence), heir_id=str(heir)
+                resource=str(resource),
+                fence=int(fence),
+                successor_id=str(successor),
             )
-            for resource, fence, heir in releases
+            for resource, fence, successor in releases
         ),
     )
 
@@ -88,10 +95,10 @@
                 fence=int(fence),
                 granted=bool(granted),
                 highest_fence=int(highest),
-                holder_id=str(holder_id),
-                heir=str(heir),
+                holder_id=str(holder),
+                successor=str(successor),
             )
-            for resource, fence, granted, highest, holder_id, heir in answers
+            for resource, fence, granted, highest, holder, successor in answers
         ),
     )
 
--- a/limpetroute/peers/lease_message.py
+++ b/limpetroute/peers/lease_message.py
@@ -1,62 +1,64 @@
-"""Messages between those who want leases and those who vote."""
+"""Messages between lease holders and lease voters."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseWant:
-    """A resource and the fencing number it is wanted under.
+    """A request for one lease, or its renewal.
 
     Parameters
     ----------
     resource : str
-        The resource.
+        Name of the resource.
     fence : int
-        Fencing number.
-    heir : str
-        Host that holds copies of what the lease protects and alone is
-        to take over, as `heir_text` writes it. Empty if not named.
+        Fencing number under which the lease is requested.
+    successor : str
+        Host that holds copies of what the lease protects, and the only
+        one that may take over, as `successor_text` writes it. Empty if
+        none is named.
     """
 
     resource: str
     fence: int
-    heir: str = ''
+    successor: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseRelease:
-    """A lease given back.
+    """A release of one lease.
 
     Parameters
     ----------
     resource : str
-        The resource.
+        Name of the resource.
     fence : int
-        The number it was held under.
-    heir_id : str
-        Host that has the holder's books and alone may have the lease
-        before it would have lapsed; empty if anybody may.
+        Fencing number under which the lease was held.
+    successor_id : str
+        Host that received the holder's book and is the only one that may
+        acquire the lease before it would have expired; empty if any
+        host may.
     """
 
     resource: str
     fence: int
-    heir_id: str = ''
+    successor_id: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class LeaseAsk:
+class LeaseRequest:
     """A batch of requests, renewals and releases of one host.
 
     Parameters
     ----------
     number : int
-        Names the ask; its vote repeats it.
+        Number of the request; repeated in its vote.
     holder_id : str
-        The host that asks.
+        Host that sends the request.
     wants : tuple of LeaseWant
-        New leases and renewals.
+        Requested leases and renewals.
     releases : tuple of LeaseRelease
-        Leases given back.
+        Released leases.
     """
 
     number: int
@@ -67,22 +69,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseAnswer:
-    """A voter's word on one resource.
+    """A voter's answer to one `LeaseWant`.
 
     Parameters
     ----------
     resource : str
-        The resource.
+        Name of the resource.
     fence : int
-        The number it was wanted under.
+        Fencing number under which the lease was requested.
     granted : bool
-        Whether the voter promises it to the host that asked.
+        Whether the voter promises the lease to the requesting host.
     highest_fence : int
-        Highest number the voter had seen before.
+        Highest fencing number that the voter had seen before.
     holder_id : str
-        Host that the voter's promise stands for; empty if none.
-    heir : str
-        Heir that the last holder named, as the voter remembers it.
+        Host to which the voter has promised the lease; empty if none.
+    successor : str
+        Newest successor that the voter has stored.
     """
 
     resource: str
@@ -90,31 +92,31 @@
     granted: bool
     highest_fence: int
     holder_id: str = ''
-    heir: str = ''
+    successor: str = ''
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LeaseVote:
-    """A voter's answers to one ask."""
+    """A voter's answers to one `LeaseRequest`."""
 
     number: int
     voter_id: str
     answers: tuple[LeaseAnswer, ...] = ()
 
 
-def heir_text(fence: int, number: int, host_id: str) -> str:
-    """Write an heir; a higher fence or number stands for newer word."""
+def successor_text(fence: int, number: int, host_id: str) -> str:
+    """Encode a successor; a higher fence, then number, makes it newer."""
     return f'{fence}.{number}:{host_id}'
 
 
-def heir_order(heir: str) -> tuple[int, int]:
-    """Return the place of an heir among others; the highest holds."""
-    fence, _, number = heir.partition(':')[0].partition('.')
+def successor_order(successor: str) -> tuple[int, int]:
+    """Return the sort key of a successor; the highest is the newest."""
+    fence, _, number = successor.partition(':')[0].partition('.')
     if not fence.isdigit() or not number.isdigit():
         return (-1, -1)
     return (int(fence), int(number))
 
 
-def heir_host(heir: str) -> str:
-    """Return the host of an heir."""
-    return heir.partition(':')[2]
+def successor_host(successor: str) -> str:
+    """Return the host id in an encoded successor."""
+    return successor.partition(':')[2]
