--- a/limpetroute/entry/peering/peer_copies.py
+++ b/limpetroute/entry/peering/peer_copies.py
@@ -230,7 +230,7 @@
         successor_id = self.sender.successor_id
         if successor_id not in working:
             names = rendezvous.ranked(self._owner, working)
-            ranked = zone_cost.rank_heirs(
+            ranked = zone_cost.rank_successors(
                 zone=self._zone,
                 hosts=[(name, working[name]) for name in names],
                 costs=self._costs,
--- a/limpetroute/peers/zone_cost.py
+++ b/limpetroute/peers/zone_cost.py
@@ -2,7 +2,7 @@
 
 import typing
 
-__all__ = ['ZoneCosts', 'rank_heirs']
+__all__ = ['ZoneCosts', 'rank_successors']
 
 LOCAL_MS = 0.0
 UNKNOWN_MS = 1000.0
@@ -37,7 +37,7 @@
         return UNKNOWN_MS if found is None else found
 
 
-def rank_heirs(
+def rank_successors(
     *,
     zone: str,
     hosts: typing.Sequence[tuple[str, str]],
--- a/tests/peers/test_small_parts.py
+++ b/tests/peers/test_small_parts.py
@@ -110,7 +110,7 @@
 
 def test_copy_goes_to_the_nearest_other_zone():
     hosts = [('e2', 'evere'), ('z1', 'zaventem'), ('a1', 'anderlecht')]
-    assert zone_cost.rank_heirs(
+    assert zone_cost.rank_successors(
         zone='evere', hosts=hosts, costs=FEDERATION
     ) == ['a1', 'z1', 'e2']
     hosts = [
@@ -119,14 +119,14 @@
         ('a1', 'augsburg'),
         ('n1', 'munich-2'),
     ]
-    assert zone_cost.rank_heirs(
+    assert zone_cost.rank_successors(
         zone='munich-1', hosts=hosts, costs=KLEINGARTEN
     ) == ['n1', 'a1', 'i1', 'm2']
 
 
 def test_unknown_zone_counts_as_far_away():
     hosts = [('x', 'elsewhere'), ('a1', 'anderlecht')]
-    assert zone_cost.rank_heirs(
+    assert zone_cost.rank_successors(
         zone='evere', hosts=hosts, costs=FEDERATION
     ) == ['a1', 'x']
 
