--- a/limpetroute/platform/__init__.py
+++ b/limpetroute/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The platform's names, formats and calls, and nothing that decides.
+"""Adapter for the platform's header names, formats and HTTP calls.
 
-Its words are decoded here, once, into the project's own types. No other
-folder but the command line imports this one.
+The package converts between the platform's formats and the project's own
+types; it makes no routing decisions. Only the command line imports it.
 """
--- a/limpetroute/platform/control_port.py
+++ b/limpetroute/platform/control_port.py
@@ -1,4 +1,4 @@
-"""The port at which operators and runners reach a control host."""
+"""HTTP API of a control host for operators and runners."""
 
 import asyncio
 import hashlib
@@ -26,14 +26,16 @@
 
 
 class _Handler(web.RequestHandler):
-    def initialize(self, desk: command_submitter.CommandSubmitter) -> None:
-        self.desk = desk
+    def initialize(
+        self, submitter: command_submitter.CommandSubmitter
+    ) -> None:
+        self.submitter = submitter
 
-    def unsure(self, got: command_submitter.Unconfirmed) -> None:
+    def reply_unconfirmed(self, result: command_submitter.Unconfirmed) -> None:
         self.set_status(HTTP_UNAVAILABLE)
-        self.finish({'reason': got.reason})
+        self.finish({'reason': result.reason})
 
-    def invalid(self, reason: str) -> None:
+    def reply_invalid(self, reason: str) -> None:
         self.set_status(HTTP_BAD_REQUEST)
         self.finish({'reason': reason})
 
@@ -41,32 +43,32 @@
 class _RoutesHandler(_Handler):
     async def put(self) -> None:
         try:
-            # In a thread: decoding thousands of routes on the loop holds
-            # up heartbeats for as long as a leader may be silent.
+            # Decoding thousands of routes on the event loop would delay
+            # the leader's heartbeats by as much as an election timeout.
             plan = await asyncio.to_thread(
                 routes_codec.decode, self.request.body
             )
         except routes_codec.InvalidRoutesError as exc:
             LOG.info('routes refused', extra={'reason': str(exc)[:300]})
-            self.invalid(str(exc))
+            self.reply_invalid(str(exc))
             return
-        got = await self.desk.submit_routes(
+        result = await self.submitter.submit_routes(
             version=plan.version,
             digest=hashlib.sha256(self.request.body).hexdigest(),
             text=self.request.body.decode(),
         )
-        if isinstance(got, command_submitter.Unconfirmed):
-            self.unsure(got)
+        if isinstance(result, command_submitter.Unconfirmed):
+            self.reply_unconfirmed(result)
             return
-        self.finish({'version': got.version})
+        self.finish({'version': result.version})
 
     async def get(self) -> None:
-        got = await self.desk.newest_routes()
-        if isinstance(got, command_submitter.Unconfirmed):
-            self.unsure(got)
+        result = await self.submitter.newest_routes()
+        if isinstance(result, command_submitter.Unconfirmed):
+            self.reply_unconfirmed(result)
             return
         self.set_header('Content-Type', 'application/json')
-        self.finish(got.text)
+        self.finish(result.text)
 
 
 class _RunnerHandler(_Handler):
@@ -75,17 +77,19 @@
             announced = heartbeat_codec.decode(runner_id, self.request.body)
         except ValueError as exc:
             LOG.warning(
-                'an announcement cannot be read',
+                'invalid heartbeat from runner',
                 extra={'runner': runner_id, 'reason': str(exc)[:300]},
             )
-            self.invalid(str(exc))
+            self.reply_invalid(str(exc))
             return
-        got = await self.desk.note_runner(announced.command, announced.service)
-        if isinstance(got, command_submitter.UnknownService):
-            self.invalid(f'unknown service {got.service!r}')
+        result = await self.submitter.note_runner(
+            announced.command, announced.service
+        )
+        if isinstance(result, command_submitter.UnknownService):
+            self.reply_invalid(f'unknown service {result.service!r}')
             return
-        if isinstance(got, command_submitter.Unconfirmed):
-            self.unsure(got)
+        if isinstance(result, command_submitter.Unconfirmed):
+            self.reply_unconfirmed(result)
             return
         self.finish({})
 
@@ -96,27 +100,27 @@
             )
         except ValueError as exc:
             LOG.warning(
-                'a farewell cannot be read',
+                'invalid farewell from runner',
                 extra={'runner': runner_id, 'reason': str(exc)[:300]},
             )
-            self.invalid(str(exc))
+            self.reply_invalid(str(exc))
             return
-        got = await self.desk.forget_runner(command)
-        if isinstance(got, command_submitter.Unconfirmed):
-            self.unsure(got)
+        result = await self.submitter.forget_runner(command)
+        if isinstance(result, command_submitter.Unconfirmed):
+            self.reply_unconfirmed(result)
             return
         self.finish({})
 
 
 class ControlPort:
-    """The port at which operators and runners reach a control host.
+    """HTTP API of a control host for operators and runners.
 
     Parameters
     ----------
     node : Node
         The control host.
     listen : ListenSettings
-        The port.
+        The address and port to listen on.
     """
 
     def __init__(
@@ -126,12 +130,14 @@
         listen: listen_settings.ListenSettings,
     ) -> None:
         self._listen = listen
-        trust = node.settings.credentials()
-        http = caller.Caller(tls=trust.client_tls, token=trust.token)
-        desk = command_submitter.CommandSubmitter(
-            node=node, http=http, parse_services=_services
+        credentials = node.settings.credentials()
+        http = caller.Caller(
+            tls=credentials.client_tls, token=credentials.token
+        )
+        submitter = command_submitter.CommandSubmitter(
+            node=node, http=http, parse_services=_service_names
         )
-        args = {'desk': desk}
+        args = {'submitter': submitter}
         self._server = httpserver.HTTPServer(
             web.Application(
                 [
@@ -147,22 +153,24 @@
         return f'{type(self).__name__}(listen={self._listen!r})'
 
     def routes(self) -> list[web.URLSpec]:
-        """Return nothing: it has a port of its own."""
+        """Return no routes; this API listens on a separate port."""
         return []
 
     def start(self) -> None:
-        """Open the port."""
+        """Start listening."""
         self._server.add_sockets(
             netutil.bind_sockets(self._listen.port, self._listen.address)
         )
 
     def stop(self) -> None:
-        """Close the port."""
+        """Stop listening."""
         self._server.stop()
 
 
-def _services(
+def _service_names(
     parts: typing.Sequence[config_fragments.ConfigFragment],
 ) -> frozenset[str]:
-    """Return the services that a configuration names."""
-    return frozenset(one.name for one in routes_reader.read_services(parts))
+    """Return the names of the services in a configuration."""
+    return frozenset(
+        service.name for service in routes_reader.read_services(parts)
+    )
--- a/limpetroute/platform/header_names.py
+++ b/limpetroute/platform/header_names.py
@@ -1,27 +1,28 @@
-"""Header names between callers, this system and runners."""
+"""Names of the HTTP headers of callers and runners."""
 
 REQUEST_ID = 'Request-Id'
-# Milliseconds that whoever receives it has left, not a point in time.
+# Milliseconds that the recipient has left, not a point in time.
 DEADLINE_MS = 'Deadline-Ms'
-# The one runner that is meant; another one answers 421.
+# Id of the intended runner; any other runner responds with status 421.
 EXPECT_INSTANCE = 'Expect-Instance'
-# Present, whatever its value, where a runner did not run a request.
+# Present, with any value, if the runner did not run the request.
 NOT_RUN = 'Not-Run'
-# PROMPT_TOKENS,MAX_OUTPUT_TOKENS: what may be used, not what was.
+# PROMPT_TOKENS,MAX_OUTPUT_TOKENS: the upper bounds, not the actual usage.
 TOKEN_USAGE = 'Token-Usage'
-# The caller's guess of the tokens of its answer.
+# The caller's estimate of the number of tokens of the answer.
 LENGTH_HINT = 'Length-Hint'
-# ID:TOKENS of each part of the prompt, in order. The last part is the
-# caller's own, so its ID names the prompt; the others are shared.
+# Comma-separated ID:TOKENS of each part of the prompt, in order. The last
+# part is unique to the caller, so its ID identifies the prompt; the others
+# are shared between prompts.
 PROMPT_PREFIX = 'Prompt-Prefix'
-# Requests a second that a runner takes from all hosts together.
+# Requests per second that a runner accepts from all hosts together.
 SERVER_LIMIT = 'Server-Limit'
 STAGE = 'Stage'
-# ADDRESS/HANDLE of a prefill's result.
+# ADDRESS/HANDLE of the KV cache at the prefill runner.
 KV_FROM = 'Kv-From'
 LAST_EVENT_ID = 'Last-Event-Id'
 
-# These are this system's to set; a caller's own are dropped.
+# Only the router may set these; they are removed from callers' requests.
 SYSTEM_ONLY = (
     STAGE,
     KV_FROM,
@@ -33,7 +34,7 @@
     'Request-Priority',
     'Expect-Version',
 )
-# Concern one connection only (RFC 9110, section 7.6.1).
+# Apply to a single connection (RFC 9110, section 7.6.1).
 HOP_BY_HOP = (
     'Connection',
     'Keep-Alive',
--- a/limpetroute/platform/heartbeat_codec.py
+++ b/limpetroute/platform/heartbeat_codec.py
@@ -1,4 +1,4 @@
-"""Decodes what runners say of themselves."""
+"""Decodes the heartbeats and farewells of runners."""
 
 import dataclasses
 import typing
@@ -13,7 +13,7 @@
 
 
 class _Body(pydantic.BaseModel):
-    """Takes no value of another type; unknown fields are ignored."""
+    """Rejects values of a wrong type and ignores unknown fields."""
 
     model_config = pydantic.ConfigDict(
         extra='ignore',
@@ -22,54 +22,54 @@
         alias_generator=lambda name: name.replace('_', '-'),
     )
 
-    # Unix time of the runner's start in milliseconds. The page has it
-    # always there; runners were seen that leave it out, so only another
-    # type makes a message unreadable.
+    # Unix time of the runner's start in milliseconds. The specification
+    # requires this field, but some runners omit it, so only a value of a
+    # wrong type makes the message invalid.
     born: int = pydantic.Field(default=0, ge=0)
 
 
 class HeartbeatBody(_Body):
-    """A heartbeat as it is sent.
+    """Body of a heartbeat.
 
-    All fields that every runner sends are asked for, also those that
-    nothing here uses: a message without them is another writer's, and
-    taken it would put requests where no runner is, or drive the runner
-    out whose address it names.
+    Every field that all runners send is required, including unused ones.
+    A message without one of them does not come from a runner. Accepting
+    it could route requests to an address without a runner, or displace
+    the runner that uses the address.
     """
 
     service: str = pydantic.Field(min_length=1)
     address: addresses.HostPort
     zone: str
-    # Of the runner's software, not of the model's weights.
+    # Version of the runner's software, not of the model's weights.
     version: str
     slots: int = pydantic.Field(ge=1)
     state: typing.Literal['ready', 'draining']
-    # How much longer the runner is slow after its start.
+    # Remaining time for which the runner is slow after its start.
     cold_left_ms: float
     stage: typing.Literal['prefill', 'decode'] | None = None
-    # Counts a runner's calls, so that one that comes late can be told.
+    # Counts the runner's calls, to detect one that arrives out of order.
     seq: int = pydantic.Field(ge=0)
 
 
 class FarewellBody(_Body):
-    """What a runner says when it leaves; mostly nothing."""
+    """Body of a farewell; usually absent."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Announced:
-    """A runner's announcement, and the service that it names."""
+    """A decoded heartbeat and the service that it names."""
 
     command: commands.NoteRunner
     service: str
 
 
 def decode(runner_id: str, data: bytes) -> Announced:
-    """Return what a heartbeat says.
+    """Decode a heartbeat.
 
     Raises
     ------
     ValueError
-        If it cannot be read.
+        If the message is invalid.
     """
     body = HeartbeatBody.model_validate_json(data)
     ready = body.state == 'ready'
@@ -98,12 +98,12 @@
 
 
 def decode_farewell(runner_id: str, data: bytes) -> commands.ForgetRunner:
-    """Return what a runner says when it leaves.
+    """Decode the message that a runner sends when it leaves.
 
     Raises
     ------
     ValueError
-        If it cannot be read.
+        If the message is invalid.
     """
     if not data:
         return commands.ForgetRunner(runner_id=runner_id)
--- a/limpetroute/platform/http_dialect.py
+++ b/limpetroute/platform/http_dialect.py
@@ -1,4 +1,4 @@
-"""The platform's HTTP headers and runner calls."""
+"""Formats of the platform's requests and responses."""
 
 import json
 import typing
@@ -18,7 +18,7 @@
 
 
 class HttpDialect:
-    """The platform's HTTP headers and runner calls."""
+    """Formats of the platform's requests and responses."""
 
     def __init__(self) -> None:
         self._reader = routes_reader.RoutesReader()
@@ -61,8 +61,8 @@
             (*header_names.HOP_BY_HOP, *header_names.SYSTEM_ONLY),
         )
         headers.pop('Content-Length', None)
-        left_ms = max(1, int(note.remaining_s * MILLIS))
-        headers[header_names.DEADLINE_MS] = str(left_ms)
+        remaining_ms = max(1, int(note.remaining_s * MILLIS))
+        headers[header_names.DEADLINE_MS] = str(remaining_ms)
         headers[header_names.EXPECT_INSTANCE] = note.runner_id
         if note.prefill_only:
             headers[header_names.STAGE] = 'prefill'
@@ -78,11 +78,11 @@
         return header_names.NOT_RUN in headers or status == HTTP_MISDIRECTED
 
     def is_misdirected(self, status: int) -> bool:
-        """Return whether another runner than the one meant answers."""
+        """Return whether another runner than the intended one responded."""
         return status == HTTP_MISDIRECTED
 
     def rate_limit_text(self, headers: httputil.HTTPHeaders) -> str | None:
-        """Return the limit that a runner names, as it wrote it."""
+        """Return the rate limit that a runner announces, as received."""
         return headers.get(header_names.SERVER_LIMIT)
 
     def belongs_to(
@@ -90,27 +90,33 @@
         request: caller_request.CallerRequest,
         headers: httputil.HTTPHeaders,
     ) -> bool:
-        """Return whether a response is the one to this request."""
+        """Return whether a response belongs to this request."""
         echoed = headers.get(header_names.REQUEST_ID)
         return echoed is None or echoed == request.request_id
 
     def caller_headers(
         self, headers: httputil.HTTPHeaders
     ) -> httputil.HTTPHeaders:
-        """Return what of a runner's headers the caller gets."""
+        """Return the headers of a runner's response for the caller."""
         return _without(headers, header_names.HOP_BY_HOP)
 
     def local_reply_headers(
         self, request: caller_request.CallerRequest
     ) -> httputil.HTTPHeaders:
-        """Return the headers of an answer of this host's own."""
+        """Return the headers of a response that this host generates."""
         headers = httputil.HTTPHeaders()
         if request.request_id:
             headers[header_names.REQUEST_ID] = request.request_id
         return headers
 
     def read_handle(self, body: bytes) -> str:
-        """Return the handle of a prefill's result; `ValueError` if none."""
+        """Return the KV cache handle from a prefill response.
+
+        Raises
+        ------
+        ValueError
+            If there is no handle in the body.
+        """
         try:
             handle = json.loads(body)['kv-handle']
         except (KeyError, TypeError) as exc:
@@ -122,7 +128,7 @@
     def free_handle_call(
         self, handle: str, runner_id: str
     ) -> small_call.SmallCall:
-        """Return the call that frees a prefill's result."""
+        """Return the call that frees a prefill runner's KV cache."""
         return small_call.SmallCall(
             method='DELETE',
             path=f'/api/kv-handle/{handle}',
@@ -132,7 +138,7 @@
     def prepare_plan(
         self, parts: typing.Iterable[config_fragments.ConfigFragment]
     ) -> None:
-        """Decode parts ahead of the `read_plan` of all of them."""
+        """Decode fragments ahead, to make a later `read_plan` short."""
         self._reader.prepare(parts)
 
     def read_plan(
@@ -145,10 +151,13 @@
 def _without(
     headers: httputil.HTTPHeaders, names: tuple[str, ...]
 ) -> httputil.HTTPHeaders:
-    """Return a copy without some headers, and those it names itself."""
+    """Return a copy without these headers and the Connection options.
+
+    The Connection header lists further headers of a single connection.
+    """
     dropped = {name.lower() for name in names}
-    for word in headers.get('Connection', '').split(','):
-        dropped.add(word.strip().lower())
+    for option in headers.get('Connection', '').split(','):
+        dropped.add(option.strip().lower())
     kept = httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in dropped:
@@ -156,24 +165,26 @@
     return kept
 
 
-def _seconds(word: str | None) -> float | None:
-    """Return milliseconds in a header as seconds, or None if unusable."""
+def _seconds(text: str | None) -> float | None:
+    """Convert a header in milliseconds to seconds; None if invalid."""
     try:
-        return None if word is None else float(word) / MILLIS
+        return None if text is None else float(text) / MILLIS
     except ValueError:
         return None
 
 
 def _generation(
-    usage: str | None, hint: str | None, parts: str
+    usage: str | None, hint: str | None, prefix: str
 ) -> caller_request.Generation | None:
     try:
-        prompt, _, most = (usage or '').partition(',')
+        prompt_tokens, _, max_tokens = (usage or '').partition(',')
         return caller_request.Generation(
-            prompt_tokens=int(prompt),
-            max_output_tokens=int(most),
-            expected_output_tokens=min(int(hint or most), int(most)),
-            prompt_id=parts.rpartition(',')[2].partition(':')[0].strip(),
+            prompt_tokens=int(prompt_tokens),
+            max_output_tokens=int(max_tokens),
+            expected_output_tokens=min(
+                int(hint or max_tokens), int(max_tokens)
+            ),
+            prompt_id=prefix.rpartition(',')[2].partition(':')[0].strip(),
         )
     except ValueError:
         return None
--- a/limpetroute/platform/orders.py
+++ b/limpetroute/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to runners as the platform's engines take them."""
+"""Builds the platform's control calls to runners."""
 
 import json
 import typing
@@ -12,7 +12,7 @@
 
 
 class Orders:
-    """Orders to runners as the platform's engines take them."""
+    """Builds the platform's control calls to runners."""
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}()'
@@ -31,7 +31,7 @@
         holder: str,
         fence: int,
     ) -> small_call.SmallCall:
-        """Return the call that orders a runner to a stage."""
+        """Return the call that switches a runner to a stage."""
         body = {
             'op': 'stage',
             'stage': stage.value,
@@ -46,7 +46,7 @@
         )
 
     def busy_request(self, runner_id: str) -> small_call.SmallCall:
-        """Return the call that asks whether a runner carries one out."""
+        """Return the call that queries whether an order is in progress."""
         return small_call.SmallCall(
             method='GET',
             path='/api/report',
@@ -54,9 +54,14 @@
         )
 
     def parse_busy(self, body: bytes) -> bool:
-        """Return whether an order is being carried out.
+        """Return whether the runner is still carrying out an order.
 
-        The field is ``busy``; it says nothing of how much work there is.
+        The field is ``busy``, which does not describe the runner's load.
+
+        Raises
+        ------
+        ValueError
+            If the body is not a valid report.
         """
         try:
             busy = json.loads(body)['busy']
--- a/limpetroute/platform/paths.py
+++ b/limpetroute/platform/paths.py
@@ -1,3 +1,3 @@
-"""Paths that the platform calls."""
+"""URL paths of this system that the platform requests."""
 
 READY = '/api/readyz'
--- a/limpetroute/platform/routes_body.py
+++ b/limpetroute/platform/routes_body.py
@@ -1,4 +1,4 @@
-"""The operator's routing configuration as it is sent."""
+"""JSON schema of the operator's routing configuration."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 
 class _Body(pydantic.BaseModel):
-    """Ignores unknown fields, as new ones may come."""
+    """Ignores unknown fields, so that new fields can be added."""
 
     model_config = pydantic.ConfigDict(
         extra='ignore',
@@ -16,48 +16,48 @@
 
 
 class SplitBody(_Body):
-    """A service's part of a route."""
+    """A service's share of a route's requests."""
 
     service: str
     weight: float
 
 
 class RouteBody(_Body):
-    """One route; either ``service`` or ``split`` is given."""
+    """A route; sets either ``service`` or ``split``."""
 
     name: str = ''
     host: str
     path_prefix: str
     kind: typing.Literal['idempotent', 'non_idempotent', 'streaming']
-    # How long a caller may be kept waiting, not a socket's timeout.
+    # Maximum time until the caller has its answer, not a socket timeout.
     timeout_ms: float
-    # The time within which an answer is good.
+    # Target time within which an answer meets the SLO.
     slo_ms: float = 1000.0
     gap_slo_ms: float | None = None
     priority: int = 0
     service: str | None = None
     split: list[SplitBody] = []
-    # Runners that one attempt of a caller may be sent to.
+    # Maximum number of runners tried for one request of a caller.
     attempts: int = 1
     resumable: bool = False
 
 
 class EngineBody(_Body):
-    """What a service's model runners are."""
+    """Properties of a service's model runners."""
 
     slots: int
     # Tokens, not bytes.
     kv_capacity: int
-    # Tokens in one event of a stream.
+    # Tokens per event of a stream.
     stride: int = 1
-    # How long a prefill's result is kept.
+    # How long a prefill runner keeps the KV cache of a prompt.
     kv_ttl_s: float = 0.5
-    # How long a runner is away while it changes its stage.
+    # How long a runner is unavailable while it changes its stage.
     switch_s: float = 6.0
 
 
 class ServiceBody(_Body):
-    """One service."""
+    """A service."""
 
     name: str
     health_path: str = '/healthz'
@@ -66,7 +66,7 @@
 
 
 class LimitsBody(_Body):
-    """What a caller may send, and how slowly."""
+    """Limits on the size and duration of callers' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
--- a/limpetroute/platform/routes_codec.py
+++ b/limpetroute/platform/routes_codec.py
@@ -10,8 +10,9 @@
 from limpetroute.routing import service as service_module
 
 MILLIS = 1000.0
-# Callers leave a stream after the longest of these without an event: a
-# time, so many times the route's target, so many times its longest pause.
+# Callers leave a stream after the longest of these times without an event:
+# a fixed time, a multiple of the route's target, and a multiple of its
+# target for the gap between events.
 LEAST_SILENCE_S = 2.0
 TARGETS_OF_SILENCE = 4.0
 PAUSES_OF_SILENCE = 8.0
@@ -24,16 +25,16 @@
 
 
 class InvalidRoutesError(ValueError):
-    """A routing configuration that cannot be put in force."""
+    """A routing configuration that is malformed or inconsistent."""
 
 
 def decode(text: str | bytes) -> route_plan.RoutePlan:
-    """Return the plan of a configuration's text.
+    """Decode and validate a complete configuration.
 
     Raises
     ------
     InvalidRoutesError
-        If it cannot be read in full, or is not sound.
+        If the text is malformed or the configuration is inconsistent.
     """
     try:
         body = routes_body.RoutesBody.model_validate_json(text)
@@ -41,8 +42,10 @@
         raise InvalidRoutesError(str(exc)) from exc
     plan = route_plan.RoutePlan(
         version=body.version,
-        routes=tuple(route(one) for one in body.routes),
-        services=tuple(service(one) for one in body.services),
+        routes=tuple(route(route_body) for route_body in body.routes),
+        services=tuple(
+            service(service_body) for service_body in body.services
+        ),
         limits=limits(body),
     )
     problems = plan.problems()
@@ -52,7 +55,7 @@
 
 
 def limits(body: routes_body.RoutesBody) -> caller_limits.CallerLimits:
-    """Return the bounds of what callers may send."""
+    """Convert the limits on callers' requests."""
     return caller_limits.CallerLimits(
         max_header_bytes=body.limits.max_header_bytes,
         max_body_bytes=body.limits.max_body_bytes,
@@ -62,10 +65,10 @@
 
 
 def route(body: routes_body.RouteBody) -> route_module.Route:
-    """Return a route."""
+    """Convert a route."""
     shares = [
-        route_module.Share(service=one.service, weight=one.weight)
-        for one in body.split
+        route_module.Share(service=share.service, weight=share.weight)
+        for share in body.split
     ]
     if body.service is not None:
         shares = [route_module.Share(service=body.service, weight=1.0)]
@@ -91,7 +94,7 @@
 
 
 def service(body: routes_body.ServiceBody) -> service_module.Service:
-    """Return a service."""
+    """Convert a service."""
     engine = None
     if body.engine is not None:
         engine = service_module.Engine(
--- a/limpetroute/platform/routes_reader.py
+++ b/limpetroute/platform/routes_reader.py
@@ -1,4 +1,4 @@
-"""Decodes routing configurations that change part by part."""
+"""Decodes routing configurations incrementally."""
 
 import typing
 
@@ -16,10 +16,11 @@
 
 
 class RoutesReader:
-    """Decodes routing configurations that change part by part.
+    """Decodes routing configurations incrementally.
 
-    Routes that the version before had are not decoded again: decoding
-    thousands of them for each change of one would hold callers up.
+    Routes that are unchanged from the previous version are not decoded
+    again. Decoding thousands of routes whenever one of them changes would
+    delay callers.
     """
 
     def __init__(self) -> None:
@@ -33,76 +34,76 @@
     def prepare(
         self, parts: typing.Iterable[config_fragments.ConfigFragment]
     ) -> None:
-        """Decode parts ahead of the `read` of a document with them."""
-        known = self._routes
+        """Decode fragments ahead, to make a later `read` short."""
+        decoded = self._routes
         for part in parts:
-            if part.array == _ROUTES and part not in known:
-                known[part] = _route(part)
+            if part.array == _ROUTES and part not in decoded:
+                decoded[part] = _route(part)
 
     def read(
         self, parts: typing.Sequence[config_fragments.ConfigFragment]
     ) -> route_plan.RoutePlan:
-        """Return the plan of a document that control hosts have checked.
+        """Decode a configuration that control hosts have validated.
 
         Raises
         ------
         InvalidRoutesError
-            If a part cannot be read.
+            If a fragment is malformed.
         """
-        wanted = [part for part in parts if part.array == _ROUTES]
-        self.prepare(wanted)
-        known = self._routes
-        routes = [known[part] for part in wanted]
-        # Those that are gone are forgotten.
-        self._routes = dict(zip(wanted, routes, strict=True))
-        frame = _frame(parts)
+        route_parts = [part for part in parts if part.array == _ROUTES]
+        self.prepare(route_parts)
+        decoded = self._routes
+        routes = [decoded[part] for part in route_parts]
+        # Drops the routes that are no longer in the configuration.
+        self._routes = dict(zip(route_parts, routes, strict=True))
+        remainder = _remainder(parts)
         return route_plan.RoutePlan(
-            version=frame.version,
+            version=remainder.version,
             routes=(
-                *(routes_codec.route(one) for one in frame.routes),
+                *(routes_codec.route(body) for body in remainder.routes),
                 *routes,
             ),
-            services=_services(frame, parts),
-            limits=routes_codec.limits(frame),
+            services=_services(remainder, parts),
+            limits=routes_codec.limits(remainder),
         )
 
 
 def read_services(
     parts: typing.Sequence[config_fragments.ConfigFragment],
 ) -> tuple[service_module.Service, ...]:
-    """Return only the services of a document."""
-    return _services(_frame(parts), parts)
+    """Decode only the services of a configuration."""
+    return _services(_remainder(parts), parts)
 
 
-def _frame(
+def _remainder(
     parts: typing.Iterable[config_fragments.ConfigFragment],
 ) -> routes_body.RoutesBody:
-    """Return the document without its routes and services."""
+    """Decode the configuration without its routes and services."""
     text = ''.join(
         [part.text for part in parts if part.array not in (_ROUTES, _SERVICES)]
     )
-    return _checked(routes_body.RoutesBody, text)
+    return _validated(routes_body.RoutesBody, text)
 
 
 def _services(
-    frame: routes_body.RoutesBody,
+    remainder: routes_body.RoutesBody,
     parts: typing.Iterable[config_fragments.ConfigFragment],
 ) -> tuple[service_module.Service, ...]:
-    bodies = list(frame.services)
+    bodies = list(remainder.services)
     for part in parts:
         if part.array == _SERVICES:
-            bodies.append(_checked(routes_body.ServiceBody, part.element))
-    return tuple(routes_codec.service(one) for one in bodies)
+            bodies.append(_validated(routes_body.ServiceBody, part.element))
+    return tuple(routes_codec.service(body) for body in bodies)
 
 
 def _route(part: config_fragments.ConfigFragment) -> route_module.Route:
-    return routes_codec.route(_checked(routes_body.RouteBody, part.element))
+    return routes_codec.route(_validated(routes_body.RouteBody, part.element))
 
 
 _Model = typing.TypeVar('_Model', bound=pydantic.BaseModel)
 
 
-def _checked(model: type[_Model], text: str) -> _Model:
+def _validated(model: type[_Model], text: str) -> _Model:
     try:
         return model.model_validate_json(text)
     except pydantic.ValidationError as exc:
--- a/tests/platform/test_heartbeat_codec.py
+++ b/tests/platform/test_heartbeat_codec.py
@@ -23,7 +23,7 @@
 }
 
 
-def test_a_heartbeat_becomes_an_announcement():
+def test_a_heartbeat_is_decoded():
     announced = heartbeat_codec.decode('i-1', json.dumps(BEAT).encode())
     command = announced.command
     assert announced.service == 'model'
@@ -39,31 +39,31 @@
     assert (info.service, info.slots, info.ready) == ('model', 12, True)
 
 
-def test_what_changes_with_each_heartbeat_is_not_an_announcement():
-    """Otherwise each heartbeat would take a place in the control log."""
-    one = heartbeat_codec.decode('i-1', json.dumps(BEAT).encode())
+def test_fields_that_change_with_each_heartbeat_are_not_logged():
+    """Otherwise each heartbeat would add an entry to the control log."""
+    first = heartbeat_codec.decode('i-1', json.dumps(BEAT).encode())
     later = {**BEAT, 'cold-left-ms': 100, 'seq': 5}
-    two = heartbeat_codec.decode('i-1', json.dumps(later).encode())
-    assert one.command.text == two.command.text
+    second = heartbeat_codec.decode('i-1', json.dumps(later).encode())
+    assert first.command.text == second.command.text
 
 
 @pytest.mark.parametrize('data', [b'', b'{}', b'[]', b'{"service": 1}'])
-def test_what_cannot_be_read_is_refused(data):
+def test_an_invalid_heartbeat_is_refused(data):
     with pytest.raises(ValueError):
         heartbeat_codec.decode('i-1', data)
 
 
-def test_another_start_of_a_runner_is_another_announcement():
-    """A runner crashes and starts again under its identity.
+def test_a_restarted_runner_has_a_new_log_text():
+    """A runner crashes and restarts with the same id.
 
-    Its counts begin anew; only the time of its start tells its lives
-    apart.
+    Its sequence numbers begin again, so only its start time
+    distinguishes its incarnations.
     """
-    one = heartbeat_codec.decode('i-1', json.dumps(BEAT).encode())
-    again = {**BEAT, 'seq': 1, 'born': 1_770_000_000_123}
-    two = heartbeat_codec.decode('i-1', json.dumps(again).encode())
-    assert two.command.started_ms == 1_770_000_000_123
-    assert one.command.text != two.command.text
+    first = heartbeat_codec.decode('i-1', json.dumps(BEAT).encode())
+    restarted = {**BEAT, 'seq': 1, 'born': 1_770_000_000_123}
+    second = heartbeat_codec.decode('i-1', json.dumps(restarted).encode())
+    assert second.command.started_ms == 1_770_000_000_123
+    assert first.command.text != second.command.text
 
 
 REQUIRED = [
@@ -88,10 +88,10 @@
     name=st.sampled_from([*REQUIRED, 'stage', 'born']), junk=JUNK
 )
 def test_a_field_of_another_type_makes_a_heartbeat_unreadable(name, junk):
-    """Another writer sends something that is nearly a heartbeat.
+    """A client that is not a runner sends a body like a heartbeat.
 
-    Taken with what could be made of it, it puts requests where no
-    runner is, or drives out the runner whose address it names.
+    Accepting it with its valid fields would route requests to an address
+    without a runner, or displace the runner that uses the address.
     """
     hypothesis.assume(not (name == 'stage' and junk is None))
     with pytest.raises(ValueError):
@@ -134,10 +134,10 @@
         heartbeat_codec.decode('i-1', data)
 
 
-def test_a_farewell_may_tell_which_life_it_ends():
+def test_a_farewell_may_name_the_incarnation_that_ends():
     plain = heartbeat_codec.decode_farewell('i-1', b'')
     assert plain.started_ms == 0
-    told = heartbeat_codec.decode_farewell('i-1', b'{"born": 7}')
-    assert told.started_ms == 7
+    dated = heartbeat_codec.decode_farewell('i-1', b'{"born": 7}')
+    assert dated.started_ms == 7
     with pytest.raises(ValueError):
         heartbeat_codec.decode_farewell('i-1', b'{"born": "7"}')
--- a/tests/platform/test_http_dialect.py
+++ b/tests/platform/test_http_dialect.py
@@ -31,7 +31,7 @@
     assert request.generation.prompt_id == 'e4402b7d'
 
 
-def test_what_cannot_be_read_counts_as_absent():
+def test_malformed_headers_count_as_absent():
     request = read(Deadline_Ms='soon', Token_Usage='many')
     assert request.deadline_s is None
     assert request.generation is None
@@ -39,15 +39,15 @@
     assert request.generation.prompt_id == ''
 
 
-def test_hop_by_hop_headers_stay_behind():
+def test_hop_by_hop_headers_are_not_forwarded():
     request = read(
         Connection='keep-alive, X-Once',
         X_Once='1',
         X_Kept='2',
         Transfer_Encoding='chunked',
     )
-    note = dialect.SendOptions(remaining_s=1.25, runner_id='i-1')
-    headers = http_dialect.HttpDialect().runner_headers(request, note)
+    options = dialect.SendOptions(remaining_s=1.25, runner_id='i-1')
+    headers = http_dialect.HttpDialect().runner_headers(request, options)
     assert headers['X-Kept'] == '2'
     assert 'X-Once' not in headers
     assert 'Connection' not in headers
@@ -56,9 +56,9 @@
 
 
 def test_only_a_runners_own_word_proves_that_it_did_not_run():
-    known = http_dialect.HttpDialect()
+    http = http_dialect.HttpDialect()
     proof = httputil.HTTPHeaders({'Not-Run': '1'})
-    assert known.is_refusal(503, proof)
-    assert known.is_refusal(421, httputil.HTTPHeaders())
+    assert http.is_refusal(503, proof)
+    assert http.is_refusal(421, httputil.HTTPHeaders())
     for status in (429, 500, 502, 503, 504):
-        assert not known.is_refusal(status, httputil.HTTPHeaders())
+        assert not http.is_refusal(status, httputil.HTTPHeaders())
--- a/tests/platform/test_routes_codec.py
+++ b/tests/platform/test_routes_codec.py
@@ -62,7 +62,7 @@
     assert (route.timeout_s, route.target_s) == (14.0, 0.9)
     assert (route.gap_target_s, route.max_sends) == (0.3, 2)
     assert route.resumable
-    assert [one.weight for one in route.shares] == [90, 10]
+    assert [share.weight for share in route.shares] == [90, 10]
     engine = plan.service('model').engine
     assert (engine.slots, engine.memory_tokens) == (12, 78413)
     assert (engine.tokens_per_event, engine.stage_change_s) == (67, 6.0)
@@ -89,7 +89,7 @@
         routes_codec.decode(json.dumps(body))
 
 
-def test_one_that_is_cut_short_is_refused():
+def test_a_truncated_configuration_is_refused():
     text = json.dumps(make_body())
     for end in range(0, len(text), 7):
         with pytest.raises(routes_codec.InvalidRoutesError):
@@ -103,9 +103,10 @@
 def test_how_long_callers_wait_follows_from_the_route(
     target_ms, pause_ms, silence_s
 ):
-    """With a fixed time, places are refused that callers wait for.
+    """A fixed time would be wrong for routes with other targets.
 
-    Or given to callers that have left, where targets are short.
+    Placements would be refused although callers still wait, or, with
+    short targets, made for callers that have left.
     """
     body = make_body()
     body['routes'][0].update({'slo-ms': target_ms, 'gap-slo-ms': pause_ms})
--- a/tests/platform/test_routes_reader.py
+++ b/tests/platform/test_routes_reader.py
@@ -1,4 +1,4 @@
-"""Configurations read part by part are read as a whole would be."""
+"""Incremental decoding gives the same plan as decoding the whole text."""
 
 import json
 
@@ -48,7 +48,7 @@
         )
 
 
-def test_a_text_that_is_one_part_is_read_too():
+def test_a_text_of_a_single_fragment_is_decoded():
     text = json.dumps(document(3, [(1, 900)]))
     parts = (config_fragments.ConfigFragment('', text),)
     plan = routes_reader.RoutesReader().read(parts)
@@ -56,7 +56,7 @@
     assert routes_reader.read_services(parts) == plan.services
 
 
-def test_a_route_that_cannot_be_read_is_refused():
+def test_an_invalid_route_is_refused():
     broken = document(3, [(1, 900)])
     del broken['routes'][0]['kind']
     with pytest.raises(routes_codec.InvalidRoutesError):
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter knows the platform's words."""
+"""The platform's header names and keys occur only in its adapter."""
 
 import pathlib
 import re
@@ -15,7 +15,7 @@
 )
 
 
-def test_the_platforms_words_stand_in_the_adapter_alone():
+def test_the_platforms_names_occur_only_in_the_adapter():
     found = {}
     for path in sorted(ROOT.rglob('*.py')):
         hits = WORDS.findall(path.read_text())
