--- a/limpetroute/runners/__init__.py
+++ b/limpetroute/runners/__init__.py
@@ -1,1 +1,1 @@
-"""Announcements of runners and the client that drives them."""
+"""Directory of announced runners, and clients that call them."""
--- a/limpetroute/runners/engine_call.py
+++ b/limpetroute/runners/engine_call.py
@@ -1,4 +1,4 @@
-"""Messages to and from an engine."""
+"""Requests and responses of an engine."""
 
 import dataclasses
 import typing
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PrefillCall:
-    """Order to read a prompt."""
+    """Request to prefill a prompt."""
 
     run_id: str
     model: str
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PrefillResult:
-    """A prompt that was read; its KV cache expires soon."""
+    """Result of a prefill; its KV cache expires in ``expires_in_s``."""
 
     handle: str
     prompt_tokens: int
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ImportCall:
-    """Order to a decode runner to fetch a KV cache."""
+    """Request to a decode runner to fetch a KV cache."""
 
     run_id: str
     source_url: str
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DecodeCall:
-    """Order to write an answer from an imported KV cache."""
+    """Request to generate an answer from an imported KV cache."""
 
     run_id: str
     model: str
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TokenEvent:
-    """One piece of an answer."""
+    """A piece of an answer."""
 
     index: int
     text: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EndEvent:
-    """End of an answer at the engine."""
+    """The engine has finished the answer."""
 
     finish_reason: str
     completion_tokens: int
--- a/limpetroute/runners/engine_client.py
+++ b/limpetroute/runners/engine_client.py
@@ -1,4 +1,4 @@
-"""The verbs of an engine."""
+"""Interface of a client for an engine."""
 
 import typing
 
@@ -7,10 +7,10 @@
 
 
 class EngineClient(typing.Protocol):
-    """Drives one runner.
+    """Client for the engine of a runner.
 
-    Each verb gives its result or an `EngineFailure`, and none raises
-    for what the network or the runner does.
+    Calls return or yield an `EngineFailure` for a fault of the network or
+    the runner; they raise no exception for it.
     """
 
     @property
@@ -20,31 +20,31 @@
     async def prefill(
         self, call: engine_call.PrefillCall, *, timeout_s: float
     ) -> engine_call.PrefillResult | engine_failure.EngineFailure:
-        """Read a prompt."""
+        """Prefill a prompt."""
 
     async def import_kv(
         self, call: engine_call.ImportCall, *, timeout_s: float
     ) -> int | engine_failure.EngineFailure:
-        """Fetch a KV cache from another runner; return its bytes."""
+        """Fetch a KV cache from another runner; return its size in bytes."""
 
     def decode(
         self, call: engine_call.DecodeCall, *, token_timeout_s: float
     ) -> typing.AsyncIterator[
         engine_call.DecodeEvent | engine_failure.EngineFailure
     ]:
-        """Write an answer, piece by piece."""
+        """Stream the events of an answer."""
 
     def resume(
         self, run_id: str, *, after_index: int, token_timeout_s: float
     ) -> typing.AsyncIterator[
         engine_call.DecodeEvent | engine_failure.EngineFailure
     ]:
-        """Receive the rest of an answer that the engine still holds."""
+        """Stream the remaining events of a run, after ``after_index``."""
 
     async def cancel(self, run_id: str, *, timeout_s: float) -> bool:
-        """End a run and free its KV memory; idempotent.
+        """Cancel a run and free its KV memory; idempotent.
 
-        Returns whether the runner confirmed that it holds nothing.
+        Returns whether the runner confirmed that the run uses no memory.
         """
 
     async def order(
--- a/limpetroute/runners/engine_failure.py
+++ b/limpetroute/runners/engine_failure.py
@@ -1,11 +1,11 @@
-"""Outcomes of a runner's refusal or failure."""
+"""Outcomes of calls that a runner refused or that failed."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """The runner says itself that it did not run the call."""
+    """The runner reported that it did not run the call."""
 
     reason: str
     free_slots: int = 0
@@ -13,16 +13,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Failed:
-    """The call failed; with ``sent`` true the runner may have run it.
+    """The call failed; if ``sent`` is true, the runner may have run it.
 
     Parameters
     ----------
     reason : str
-        Text for a log line.
+        Description for the log.
     sent : bool
-        Whether a byte may have reached the runner.
+        Whether any byte may have reached the runner.
     resumable : bool
-        Whether only the stream broke, and the run may go on there.
+        Whether only the stream broke, so that the run may still be active.
     """
 
     reason: str
--- a/limpetroute/runners/engine_pool.py
+++ b/limpetroute/runners/engine_pool.py
@@ -7,12 +7,12 @@
 
 
 class EnginePool:
-    """Makes a client for any runner that is known now.
+    """Creates clients for the runners in the directory.
 
     Parameters
     ----------
     runners : Directory
-        The runners known.
+        The announced runners.
     http : Caller
         Makes the calls.
     """
@@ -29,7 +29,7 @@
         return f'{type(self).__name__}(runners={self._runners!r})'
 
     def get(self, runner_id: str) -> engine_client.EngineClient | None:
-        """Return a client, or None if the runner is not known."""
+        """Return a client, or None if the runner is unknown."""
         body = self._runners.get(runner_id)
         if body is None:
             return None
--- a/limpetroute/runners/http_engine.py
+++ b/limpetroute/runners/http_engine.py
@@ -1,4 +1,4 @@
-"""An engine reached over HTTP with JSON."""
+"""Engine client that uses HTTP and JSON."""
 
 import dataclasses
 import json
@@ -19,12 +19,12 @@
 
 
 class HttpEngine:
-    """Client of one engine.
+    """Client for an engine, using HTTP and JSON.
 
     Parameters
     ----------
     url : str
-        Address the runner announced.
+        URL that the runner announced.
     http : Caller
         Makes the calls.
     """
@@ -46,24 +46,24 @@
     async def prefill(
         self, call: engine_call.PrefillCall, *, timeout_s: float
     ) -> engine_call.PrefillResult | engine_failure.EngineFailure:
-        """Read a prompt."""
-        got = await self._post('/v1/prefill', call, timeout_s)
-        if not isinstance(got, dict):
-            return got
+        """Prefill a prompt."""
+        result = await self._post('/v1/prefill', call, timeout_s)
+        if not isinstance(result, dict):
+            return result
         try:
-            return _prefill_result(got)
+            return _prefill_result(result)
         except (KeyError, TypeError, ValueError) as exc:
             return engine_failure.Failed(reason=repr(exc), sent=True)
 
     async def import_kv(
         self, call: engine_call.ImportCall, *, timeout_s: float
     ) -> int | engine_failure.EngineFailure:
-        """Fetch a KV cache from another runner; return its bytes."""
-        got = await self._post('/v1/kv/import', call, timeout_s)
-        if not isinstance(got, dict):
-            return got
+        """Fetch a KV cache from another runner; return its size in bytes."""
+        result = await self._post('/v1/kv/import', call, timeout_s)
+        if not isinstance(result, dict):
+            return result
         try:
-            return int(got['kv_bytes'])
+            return int(result['kv_bytes'])
         except (KeyError, TypeError, ValueError) as exc:
             return engine_failure.Failed(reason=repr(exc), sent=True)
 
@@ -72,14 +72,14 @@
     ) -> typing.AsyncIterator[
         engine_call.DecodeEvent | engine_failure.EngineFailure
     ]:
-        """Write an answer, piece by piece."""
-        link = await self._http.open(
+        """Stream the events of an answer."""
+        stream = await self._http.open(
             method='POST',
             url=f'{self._url}/v1/runs',
             body=dataclasses.asdict(call),
             timeout_s=token_timeout_s,
         )
-        async for event in self._events(link, token_timeout_s):
+        async for event in self._events(stream, token_timeout_s):
             yield event
 
     async def resume(
@@ -87,34 +87,34 @@
     ) -> typing.AsyncIterator[
         engine_call.DecodeEvent | engine_failure.EngineFailure
     ]:
-        """Receive the rest of an answer that the engine still holds."""
-        link = await self._http.open(
+        """Stream the remaining events of a run, after ``after_index``."""
+        stream = await self._http.open(
             method='GET',
             url=f'{self._url}/v1/runs/{run_id}/events?after={after_index}',
             timeout_s=token_timeout_s,
         )
-        async for event in self._events(link, token_timeout_s):
+        async for event in self._events(stream, token_timeout_s):
             yield event
 
     async def cancel(self, run_id: str, *, timeout_s: float) -> bool:
-        """End a run and free its KV memory; idempotent."""
-        got = await self._http.call(
+        """Cancel a run and free its KV memory; idempotent."""
+        result = await self._http.call(
             method='DELETE',
             url=f'{self._url}/v1/runs/{run_id}',
             timeout_s=timeout_s,
         )
-        if isinstance(got, call_failed.CallFailed):
+        if isinstance(result, call_failed.CallFailed):
             return False
-        return got.ok or got.status == HTTP_NOT_FOUND
+        return result.ok or result.status == HTTP_NOT_FOUND
 
     async def order(
         self, body: typing.Mapping[str, typing.Any], *, timeout_s: float
     ) -> None | engine_failure.EngineFailure:
         """Load a model, adapter or version, or change the role."""
-        got = await self._post('/v1/orders', body, timeout_s)
-        if isinstance(got, dict):
+        result = await self._post('/v1/orders', body, timeout_s)
+        if isinstance(result, dict):
             return None
-        return got
+        return result
 
     async def _post(
         self, path: str, message: typing.Any, timeout_s: float
@@ -122,67 +122,69 @@
         body = message
         if dataclasses.is_dataclass(message):
             body = dataclasses.asdict(message)  # type: ignore[arg-type]
-        got = await self._http.call(
+        result = await self._http.call(
             method='POST',
             url=f'{self._url}{path}',
             body=body,
             timeout_s=timeout_s,
         )
-        if isinstance(got, call_failed.CallFailed):
-            return _failed(got)
-        if not got.ok:
-            return _refused(got)
+        if isinstance(result, call_failed.CallFailed):
+            return _call_failure(result)
+        if not result.ok:
+            return _error_reply(result)
         try:
-            return dict(got.json())
+            return dict(result.json())
         except ValueError as exc:
             return engine_failure.Failed(reason=str(exc), sent=True)
 
     async def _events(
         self,
-        link: connection.Connection | call_failed.CallFailed,
+        stream: connection.Connection | call_failed.CallFailed,
         token_timeout_s: float,
     ) -> typing.AsyncIterator[
         engine_call.DecodeEvent | engine_failure.EngineFailure
     ]:
-        if isinstance(link, call_failed.CallFailed):
-            yield _broken(str(link.kind), sent=link.sent)
+        if isinstance(stream, call_failed.CallFailed):
+            yield _stream_failure(str(stream.kind), sent=stream.sent)
             return
         try:
-            if link.status != HTTP_OK:
-                got = await link.read(timeout_s=token_timeout_s)
-                if isinstance(got, call_failed.CallFailed):
-                    yield _broken(str(got.kind))
+            if stream.status != HTTP_OK:
+                result = await stream.read(timeout_s=token_timeout_s)
+                if isinstance(result, call_failed.CallFailed):
+                    yield _stream_failure(str(result.kind))
                 else:
-                    yield _refused(got)
+                    yield _error_reply(result)
                 return
             lines = line_splitter.LineSplitter(max_line_bytes=MAX_EVENT_BYTES)
-            async for chunk in link.chunks(idle_timeout_s=token_timeout_s):
+            async for chunk in stream.chunks(idle_timeout_s=token_timeout_s):
                 for line in lines.feed(chunk):
                     yield _decode_event(line)
-            yield _broken('stream closed')
+            yield _stream_failure('stream closed')
         except TimeoutError:
-            yield _broken('stream silent')
+            yield _stream_failure('stream silent')
         except (KeyError, TypeError, ValueError) as exc:
-            # A torn or garbled line: what came before it stands, and
-            # the engine is asked for the rest.
-            yield _broken(repr(exc))
+            # A line is truncated or malformed. The events before it stay
+            # valid, and the caller may resume the stream after them.
+            yield _stream_failure(repr(exc))
         finally:
-            link.close()
+            stream.close()
 
 
-def _broken(reason: str, *, sent: bool = True) -> engine_failure.Failed:
+def _stream_failure(
+    reason: str, *, sent: bool = True
+) -> engine_failure.Failed:
     return engine_failure.Failed(reason=reason, sent=sent, resumable=True)
 
 
 def _prefill_result(
-    got: typing.Mapping[str, typing.Any],
+    result: typing.Mapping[str, typing.Any],
 ) -> engine_call.PrefillResult:
     return engine_call.PrefillResult(
-        handle=str(got['handle']),
-        prompt_tokens=int(got['prompt_tokens']),
-        cached_tokens=int(got['cached_tokens']),
-        kv_bytes=int(got['kv_bytes']),
-        expires_in_s=float(got['expires_in_s']),
+        handle=str(result['handle']),
+        prompt_tokens=int(result['prompt_tokens']),
+        cached_tokens=int(result['cached_tokens']),
+        kv_bytes=int(result['kv_bytes']),
+        expires_in_s=float(result['expires_in_s']),
     )
 
 
@@ -197,30 +199,30 @@
         return engine_call.TokenEvent(index=index, text=text)
     reason = body['end']
     if reason not in GOOD_ENDS:
-        # Failed or cancelled at the engine: the run is over there, and
-        # its text is no whole answer.
+        # The run failed or was cancelled at the engine, so the answer is
+        # incomplete and cannot be resumed.
         return engine_failure.Failed(reason=f'engine: {reason}', sent=True)
     return engine_call.EndEvent(
         finish_reason=reason, completion_tokens=int(body['n'])
     )
 
 
-def _failed(got: call_failed.CallFailed) -> engine_failure.Failed:
+def _call_failure(result: call_failed.CallFailed) -> engine_failure.Failed:
     return engine_failure.Failed(
-        reason=f'{got.kind} {got.detail}'.strip(), sent=got.sent
+        reason=f'{result.kind} {result.detail}'.strip(), sent=result.sent
     )
 
 
-def _refused(got: reply.Reply) -> engine_failure.EngineFailure:
+def _error_reply(result: reply.Reply) -> engine_failure.EngineFailure:
     try:
-        body = got.json()
+        body = result.json()
     except ValueError:
         body = None
-    # Only the engine's own word counts as proof that nothing ran: a bare
-    # error status may come from a crash in the middle of the call.
+    # Only an explicit refusal by the engine proves that the call did not
+    # run. An error status alone may result from a crash during the call.
     if isinstance(body, dict) and body.get('refused') is True:
         return engine_failure.Refused(
             reason=str(body.get('reason', '')),
             free_slots=int(body.get('free_slots', 0)),
         )
-    return engine_failure.Failed(reason=f'status {got.status}', sent=True)
+    return engine_failure.Failed(reason=f'status {result.status}', sent=True)
--- a/limpetroute/runners/service_call.py
+++ b/limpetroute/runners/service_call.py
@@ -1,11 +1,11 @@
-"""Messages to and from a plain service."""
+"""Requests and responses of a plain service."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceCall:
-    """One call of a plain service.
+    """A call to a plain service.
 
     Parameters
     ----------
@@ -18,9 +18,9 @@
     body : bytes
         Body as the caller sent it.
     content_type : str
-        Its type.
+        Content type of the body.
     accept : str
-        Types that the caller takes.
+        Value of the caller's ``Accept`` header.
     key : str
         Idempotency key, passed on to the service.
     timeout_s : float
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceReply:
-    """What the service answered."""
+    """Response of the service."""
 
     status: int
     content_type: str
@@ -48,14 +48,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceRefused:
-    """The service says itself that it did not run the call."""
+    """The service reported that it did not run the call."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceFailed:
-    """The call failed; with ``sent`` true it may have run."""
+    """The call failed; if ``sent`` is true, it may have run."""
 
     reason: str
     sent: bool
--- a/limpetroute/runners/service_pool.py
+++ b/limpetroute/runners/service_pool.py
@@ -1,4 +1,4 @@
-"""Picks runners of plain services and calls them."""
+"""Selects runners of plain services and calls them."""
 
 import collections
 import typing
@@ -10,8 +10,8 @@
 from limpetroute.wire import caller
 from limpetroute.wire import reply
 
-# A runner that refuses a call before it does any of it says so with
-# this header; a status alone may come from a crash in the middle.
+# A runner sets this header if it refuses a call without having run any of
+# it. An error status alone may result from a crash during the call.
 REFUSED_HEADER = 'Limpetroute-Refused'
 MAX_REPLY_BYTES = 4 << 20
 
@@ -22,14 +22,20 @@
     Parameters
     ----------
     runners : Directory
-        The runners known.
+        The announced runners.
     http : Caller
         Makes the calls.
     drained : collection of str
-        Runners that an operator wants to get no new work.
+        Ids of the runners that an operator has drained.
     """
 
-    __slots__ = ('_drained', '_http', '_in_progress', '_runners', '_turn')
+    __slots__ = (
+        '_drained',
+        '_http',
+        '_in_progress',
+        '_runners',
+        '_start_index',
+    )
 
     def __init__(
         self,
@@ -42,13 +48,13 @@
         self._http = http
         self._drained = drained
         self._in_progress: collections.Counter[str] = collections.Counter()
-        self._turn = 0
+        self._start_index = 0
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(runners={self._runners!r})'
 
     def knows(self, service: str) -> bool:
-        """Whether a runner of the service is known."""
+        """Return whether the directory has a runner of the service."""
         return any(
             body.role == 'service' and body.service == service
             for body in self._runners.all()
@@ -57,8 +63,11 @@
     def pick(
         self, service: str, tried: typing.Collection[str]
     ) -> announcement.AnnouncementBody | None:
-        """Return a runner that takes work and was not tried, or None."""
-        fit = [
+        """Return an available runner that was not tried yet, or None.
+
+        Ties between runners with equally few calls are broken in rotation.
+        """
+        candidates = [
             body
             for body in self._runners.all()
             if body.role == 'service'
@@ -67,12 +76,12 @@
             and body.runner_id not in self._drained
             and body.runner_id not in tried
         ]
-        if not fit:
+        if not candidates:
             return None
-        self._turn += 1
-        start = self._turn % len(fit)
-        order = fit[start:] + fit[:start]
-        return min(order, key=lambda body: self._in_progress[body.runner_id])
+        self._start_index += 1
+        start = self._start_index % len(candidates)
+        rotated = candidates[start:] + candidates[:start]
+        return min(rotated, key=lambda body: self._in_progress[body.runner_id])
 
     async def send(
         self,
@@ -89,7 +98,7 @@
             headers['Limpetroute-Fence'] = str(fence)
         self._in_progress[runner.runner_id] += 1
         try:
-            got = await self._http.call(
+            result = await self._http.call(
                 method=call.method,
                 url=runner.url.rstrip('/') + call.path,
                 body=call.body or None,
@@ -101,23 +110,23 @@
             self._in_progress[runner.runner_id] -= 1
             if not self._in_progress[runner.runner_id]:
                 del self._in_progress[runner.runner_id]
-        return _result(got)
+        return _result(result)
 
 
 def _result(
-    got: reply.Reply | call_failed.CallFailed,
+    result: reply.Reply | call_failed.CallFailed,
 ) -> service_call.ServiceResult:
-    if isinstance(got, call_failed.CallFailed):
+    if isinstance(result, call_failed.CallFailed):
         return service_call.ServiceFailed(
-            reason=str(got.kind),
-            sent=got.sent,
-            timed_out=got.kind is call_failed.FailureKind.TIMEOUT,
+            reason=str(result.kind),
+            sent=result.sent,
+            timed_out=result.kind is call_failed.FailureKind.TIMEOUT,
         )
-    refused = got.headers.get(REFUSED_HEADER)
+    refused = result.headers.get(REFUSED_HEADER)
     if refused is not None:
         return service_call.ServiceRefused(reason=refused)
     return service_call.ServiceReply(
-        status=got.status,
-        content_type=got.headers.get('Content-Type', ''),
-        body=got.body,
+        status=result.status,
+        content_type=result.headers.get('Content-Type', ''),
+        body=result.body,
     )
