--- a/limpetroute/standins/__init__.py
+++ b/limpetroute/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in engine and plain service for the demo and the tests."""
+"""Simulated engine and plain service for the demo and the tests."""
--- a/limpetroute/standins/announcer.py
+++ b/limpetroute/standins/announcer.py
@@ -18,9 +18,9 @@
     urls : sequence of str
         Internal addresses of the entry hosts.
     heartbeat_s : float
-        Time between two announcements.
+        Interval between announcements.
     make_body : callable
-        Returns the announcement of the moment.
+        Returns the current announcement.
     """
 
     __slots__ = ('_heartbeat_s', '_http', '_make_body', '_urls')
@@ -42,7 +42,7 @@
         return f'{type(self).__name__}(urls={self._urls!r})'
 
     async def announce(self) -> None:
-        """Announce once."""
+        """Post the announcement to every entry host once."""
         body = self._make_body()
         calls = [
             self._http.call(
@@ -56,7 +56,7 @@
         await asyncio.gather(*calls)
 
     async def heartbeats(self) -> None:
-        """Announce for ever."""
+        """Post the announcement at every interval until cancelled."""
         while True:
             await self.announce()
             await asyncio.sleep(self._heartbeat_s)
--- a/limpetroute/standins/answer_text.py
+++ b/limpetroute/standins/answer_text.py
@@ -1,29 +1,29 @@
-"""The stand-in engine's answers, which a test can check word by word."""
+"""Deterministic answers of the stand-in engine, for checks in tests."""
 
 import zlib
 
 
 def tag_of(prompt: str) -> str:
-    """Return the tag that all words of the prompt's answer carry.
+    """Return the tag in every word of the prompt's answer.
 
-    The tag depends on the prompt's first line alone, so that a
-    continuation from prompt and delivered text carries it too.
+    The tag depends only on the prompt's first line, so a continuation of
+    the prompt with delivered text has the same tag.
     """
     first_line = prompt.split('\n', 1)[0]
     return f'{zlib.crc32(first_line.encode()):08x}'
 
 
 def word(tag: str, place: int) -> str:
-    """Return the answer's word at ``place``."""
+    """Return the word of the answer at index ``place``."""
     return f'{tag}.{place} '
 
 
 def words_in(prompt: str, tag: str) -> int:
-    """Count the answer's words that the prompt already carries."""
+    """Count the words of the answer that the prompt already contains."""
     return prompt.count(f'{tag}.')
 
 
 def whole_answer(prompt: str, count: int) -> str:
-    """Return the answer of ``count`` words that a caller must get."""
+    """Return the expected answer of ``count`` words."""
     tag = tag_of(prompt)
     return ''.join(word(tag, place) for place in range(count))
--- a/limpetroute/standins/engine_faults.py
+++ b/limpetroute/standins/engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults a stand-in engine shows on command."""
+"""Faults that tests inject into a stand-in engine."""
 
 import pydantic
 
@@ -6,31 +6,31 @@
 
 
 class EngineFaults(strict_model.StrictModel):
-    """Faults in force; all off at first.
+    """Active faults; none by default.
 
     Parameters
     ----------
     fail_prefill, fail_decode_after : int or None
         Fail this many prefills; fail a decode after this many words.
     stall_transfer : bool
-        Transfers never end.
+        Transfers of KV caches stall.
     slow_factor : float
-        Factor on all times.
+        Factor for all durations.
     silent : bool
-        Streams stay open and bring nothing.
+        Streams stay open without sending events.
     refuse : bool
-        Refuse all new work, with the engine's own word for it.
+        Refuse all new work with an explicit refusal.
     break_stream_after : int or None
-        Cut each stream after this many events; the run goes on.
+        Close each stream after this many events; the run continues.
     disorder : bool
-        Events of a batch come backwards, and each twice.
+        Send the events of a batch in reverse order, each one twice.
     fail_cancels : int
         Fail this many cancel calls.
     mute_prefill : bool
-        Prefills never answer.
+        Do not respond to prefills within `engine_handlers.MUTE_S`.
     drop_prefill_reply : int
-        Run this many prefills and break the connection instead of the
-        reply.
+        Run this many prefills, and close the connection instead of
+        responding.
     """
 
     fail_prefill: int = 0
--- a/limpetroute/standins/engine_handlers.py
+++ b/limpetroute/standins/engine_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP face of the stand-in engine."""
+"""HTTP handlers of the stand-in engine."""
 
 import asyncio
 import json
@@ -15,7 +15,8 @@
 
 TRANSFER_TIMEOUT_S = 60.0
 MUTE_S = 60.0
-# A close in the same packet as the last words may drop them unread.
+# Delay before closing a stream. If the close arrives in the same packet as
+# the last events, the client may discard them unread.
 BREAK_S = 0.02
 DISORDER_EVENTS = 3
 
@@ -50,15 +51,15 @@
     """``POST /v1/prefill``."""
 
     async def post(self) -> None:
-        """Read a prompt."""
+        """Prefill a prompt."""
         body = self.body()
         if self.refused_early(body['fence']):
             return
         state = self.state
         if state.faults.fail_prefill > 0:
-            left = state.faults.fail_prefill - 1
+            remaining = state.faults.fail_prefill - 1
             state.faults = state.faults.model_copy(
-                update={'fail_prefill': left}
+                update={'fail_prefill': remaining}
             )
             self.request.connection.close()  # type: ignore[union-attr]
             return
@@ -72,31 +73,31 @@
             self.set_status(410)
             await self.finish({'reason': 'cancelled'})
             return
-        held, cached = done
+        result, cached = done
         if state.faults.drop_prefill_reply > 0:
-            left = state.faults.drop_prefill_reply - 1
+            remaining = state.faults.drop_prefill_reply - 1
             state.faults = state.faults.model_copy(
-                update={'drop_prefill_reply': left}
+                update={'drop_prefill_reply': remaining}
             )
             self.request.connection.close()  # type: ignore[union-attr]
             return
-        tokens = held.kv_bytes // state.settings.kv_bytes_per_token
+        tokens = result.kv_bytes // state.settings.kv_bytes_per_token
         await self.finish(
             {
-                'handle': held.handle,
+                'handle': result.handle,
                 'prompt_tokens': tokens,
                 'cached_tokens': cached,
-                'kv_bytes': held.kv_bytes,
+                'kv_bytes': result.kv_bytes,
                 'expires_in_s': state.settings.result_ttl_s,
             }
         )
 
 
 class ExportHandler(_Handler):
-    """``GET /v1/kv/{handle}``: one read takes the cache away."""
+    """``GET /v1/kv/{handle}``: the first request removes the cache."""
 
     def get(self, handle: str) -> None:
-        """Hand a KV cache over."""
+        """Return a KV cache and remove it from this engine."""
         held = self.state.held.pop(handle, None)
         if held is None:
             self.refuse('no such KV cache')
@@ -111,7 +112,7 @@
     def initialize(  # type: ignore[override]
         self, state: engine_state.EngineState, http: caller.Caller
     ) -> None:
-        """Take the engine and what fetches the cache."""
+        """Set the engine state and the client for fetching caches."""
         super().initialize(state)
         self._http = http
 
@@ -124,19 +125,19 @@
         if state.is_cancelled(body['run_id']):
             self.refuse('cancelled')
             return
-        if not state.has_room(0):
+        if not state.has_capacity(0):
             state.counts['over_asked'] += 1
             self.refuse('no slot')
             return
-        got = await self._http.call(
+        reply = await self._http.call(
             method='GET',
             url=f'{body["source_url"]}/v1/kv/{body["handle"]}',
             timeout_s=TRANSFER_TIMEOUT_S,
         )
-        if isinstance(got, call_failed.CallFailed) or not got.ok:
+        if isinstance(reply, call_failed.CallFailed) or not reply.ok:
             self.refuse('no such KV cache')
             return
-        cache = got.json()
+        cache = reply.json()
         seconds = cache['kv_bytes'] / state.settings.link_bytes_per_s
         if state.faults.stall_transfer:
             seconds = TRANSFER_TIMEOUT_S
@@ -144,7 +145,7 @@
         if state.is_cancelled(body['run_id']):
             self.refuse('cancelled')
             return
-        if not state.has_room(cache['kv_bytes']):
+        if not state.has_capacity(cache['kv_bytes']):
             state.counts['over_asked'] += 1
             self.refuse('no room')
             return
@@ -153,7 +154,7 @@
 
 
 class RunsHandler(_Handler):
-    """``POST /v1/runs``: write an answer."""
+    """``POST /v1/runs``: generate an answer."""
 
     async def post(self) -> None:
         """Start a run and stream it."""
@@ -167,10 +168,10 @@
 
 
 class EventsHandler(_Handler):
-    """``GET /v1/runs/{run}/events?after=N``: the rest of an answer."""
+    """``GET /v1/runs/{run}/events?after=N``: resume a stream."""
 
     async def get(self, run_id: str) -> None:
-        """Stream from an event on."""
+        """Stream the events after a given index."""
         run = self.state.runs.get(run_id)
         if run is None:
             self.refuse('no such run')
@@ -180,10 +181,10 @@
 
 
 class RunHandler(_Handler):
-    """``DELETE /v1/runs/{run}``: end a run."""
+    """``DELETE /v1/runs/{run}``: cancel a run."""
 
     def delete(self, run_id: str) -> None:
-        """Cancel; idempotent."""
+        """Cancel a run; idempotent."""
         faults = self.state.faults
         if faults.fail_cancels > 0:
             self.state.faults = faults.model_copy(
@@ -208,10 +209,10 @@
 
 
 class FaultsHandler(_Handler):
-    """``POST /v1/faults``: set the faults in force."""
+    """``POST /v1/faults``: set the active faults."""
 
     def post(self) -> None:
-        """Replace all faults."""
+        """Replace the active faults."""
         self.state.faults = engine_faults.EngineFaults.model_validate_json(
             self.request.body
         )
@@ -219,10 +220,10 @@
 
 
 class CountsHandler(_Handler):
-    """``GET /v1/counts``: what tests compare."""
+    """``GET /v1/counts``: counters that tests check."""
 
     def get(self) -> None:
-        """Show counts and memory."""
+        """Return counters, memory use and active runs."""
         state = self.state
         self.finish(
             {
@@ -240,7 +241,7 @@
     run: engine_state.Run,
     place: int,
 ) -> None:
-    """Write a run's events, from ``place`` on, as JSON lines."""
+    """Stream a run's events, starting at index ``place``, as JSON lines."""
     handler.set_header('Content-Type', 'application/x-ndjson')
     first = place
     try:
@@ -251,7 +252,7 @@
             after = state.faults.break_stream_after
             if after is not None and upto - first >= after:
                 upto = first + after
-            if _too_few(run, upto - place, state.faults):
+            if _is_batch_incomplete(run, upto - place, state.faults):
                 await changed.wait()
                 continue
             for line in stream_faults.lines(run, place, upto, state.faults):
@@ -274,7 +275,7 @@
         return
 
 
-def _too_few(
+def _is_batch_incomplete(
     run: engine_state.Run, count: int, faults: engine_faults.EngineFaults
 ) -> bool:
     return faults.disorder and run.end is None and count < DISORDER_EVENTS
--- a/limpetroute/standins/engine_server.py
+++ b/limpetroute/standins/engine_server.py
@@ -1,4 +1,4 @@
-"""The stand-in engine: its port, its steps and its heartbeats."""
+"""Server of the stand-in engine, with its batch steps and heartbeats."""
 
 import asyncio
 import logging
@@ -22,12 +22,12 @@
 
 
 class EngineServer:
-    """One stand-in engine.
+    """A stand-in engine.
 
     Parameters
     ----------
     settings : StandinSettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, *, settings: standin_settings.StandinSettings) -> None:
@@ -35,9 +35,9 @@
         self.state = engine_state.EngineState(settings=settings)
         self.port = 0
         self.announced_url: str | None = None
-        self._trust = settings.credentials()
+        self._credentials = settings.credentials()
         self._http = caller.Caller(
-            tls=self._trust.client_tls, token=self._trust.token
+            tls=self._credentials.client_tls, token=self._credentials.token
         )
         self._announcer = announcer.Announcer(
             http=self._http,
@@ -55,17 +55,17 @@
 
     @property
     def url(self) -> str:
-        """Address announced to the entry hosts."""
+        """URL that is announced to the entry hosts."""
         if self.announced_url is not None:
             return self.announced_url
         scheme = 'https' if self.settings.listen.tls else 'http'
         return f'{scheme}://{self.settings.listen.address}:{self.port}'
 
     def start(self) -> None:
-        """Listen, step and announce."""
+        """Start listening, running batch steps and sending heartbeats."""
         self._server = tornado.httpserver.HTTPServer(
             token_guard.GuardedApplication(
-                self._routes(), tokens=self._trust.tokens
+                self._routes(), tokens=self._credentials.tokens
             ),
             ssl_options=self.settings.listen.tls_context(),
             max_body_size=64 << 20,
@@ -82,7 +82,7 @@
         LOG.info('engine %s on port %d', self.settings.runner_id, self.port)
 
     async def stop(self) -> None:
-        """Die as a killed process does: sockets close, nothing is said."""
+        """Close all sockets without notice, as if the process was killed."""
         for task in self._tasks:
             task.cancel()
         if self._server is not None:
@@ -90,12 +90,12 @@
             await self._server.close_all_connections()
 
     async def leave(self) -> None:
-        """Say that no more work is wanted."""
+        """Announce that this runner accepts no more work."""
         self.state.leaving = True
         await self.announce()
 
     async def announce(self) -> None:
-        """Announce once to every entry host."""
+        """Post the announcement to every entry host once."""
         await self._announcer.announce()
 
     def _announcement(self) -> dict[str, typing.Any]:
--- a/limpetroute/standins/engine_state.py
+++ b/limpetroute/standins/engine_state.py
@@ -1,4 +1,4 @@
-"""Memory and runs of one stand-in engine."""
+"""Memory and runs of a stand-in engine."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Run:
-    """A decode in progress or ended."""
+    """A decode that is in progress or has ended."""
 
     run_id: str
     prompt: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Held:
-    """A prefill result that waits for its transfer."""
+    """A prefill result that is stored until its transfer."""
 
     handle: str
     run_id: str
@@ -40,12 +40,12 @@
 
 
 class EngineState:
-    """What one engine holds, and the counts that tests read.
+    """State of an engine, and the counters that tests check.
 
     Parameters
     ----------
     settings : StandinSettings
-        Size and speed.
+        Capacity and speed of the engine.
     """
 
     def __init__(self, *, settings: standin_settings.StandinSettings) -> None:
@@ -75,7 +75,7 @@
 
     @property
     def active(self) -> list[Run]:
-        """Runs that hold a slot."""
+        """Runs that occupy a slot."""
         return [run for run in self.runs.values() if run.end is None]
 
     @property
@@ -87,12 +87,13 @@
     async def prefill(
         self, run_id: str, prompt: str
     ) -> tuple[Held, int] | None:
-        """Read a prompt, one at a time, and hold its KV cache.
+        """Prefill a prompt and store its KV cache; one prompt at a time.
 
         Returns
         -------
         tuple or None
-            The result and its cached tokens; None if cancelled.
+            The result and the number of cached tokens; None if the run
+            was cancelled.
         """
         tokens = prefix.estimate_tokens(prompt.encode())
         self.run_starts[run_id] += 1
@@ -126,7 +127,7 @@
         return held, cached
 
     def _use_cache(self, prompt: str) -> int:
-        """Return the tokens found cached, and cache the whole prompt."""
+        """Return the number of cached tokens, and cache the whole prompt."""
         blocks = prefix.prefix_blocks(prompt.encode())
         hits = 0
         for block in blocks:
@@ -147,11 +148,11 @@
         return hits * block_tokens
 
     def is_cancelled(self, run_id: str) -> bool:
-        """Whether the run id has been cancelled."""
+        """Return whether the run id has been cancelled."""
         return run_id in self._cancelled
 
     def expire(self, now_s: float) -> None:
-        """Drop prefill results past their time."""
+        """Remove expired prefill results and runs that ended long ago."""
         for handle, held in list(self.held.items()):
             if held.expires_s > now_s:
                 continue
@@ -161,15 +162,15 @@
             if run.end is not None and run.ended_s + RUN_KEPT_S < now_s:
                 del self.runs[run_id]
 
-    def has_room(self, kv_bytes: int) -> bool:
-        """Whether one more run fits."""
+    def has_capacity(self, kv_bytes: int) -> bool:
+        """Return whether a slot and enough memory for another run are free."""
         if len(self.active) >= self.settings.slots:
             return False
         used = self.kv_used_bytes + kv_bytes
         return used <= self.settings.kv_capacity_bytes
 
     def add_run(self, run_id: str, prompt: str, kv_bytes: int) -> None:
-        """Take an imported KV cache; it holds a slot from now on."""
+        """Add a run with an imported KV cache; the run occupies a slot."""
         self.runs[run_id] = Run(
             run_id=run_id, prompt=prompt, kv_bytes=kv_bytes
         )
@@ -184,10 +185,10 @@
         self._wake.set()
 
     def cancel(self, run_id: str) -> None:
-        """End a run and drop all that is held for it.
+        """End a run and free its memory.
 
-        The run id takes nothing from now on: a cancel may overtake the
-        order it cancels, which would then hold memory for ever.
+        Later requests for the run id are refused. A request that arrives
+        after its own cancellation would otherwise never free its memory.
         """
         self._cancelled[run_id] = None
         while len(self._cancelled) > MAX_CANCELLED:
@@ -203,7 +204,7 @@
         self._end(run, 'cancelled')
 
     async def steps(self) -> None:
-        """Run batch steps for ever; each gives every run one word."""
+        """Run batch steps until cancelled; each adds a word to every run."""
         while True:
             batch = [run for run in self.active if run.started]
             if not batch:
--- a/limpetroute/standins/service_faults.py
+++ b/limpetroute/standins/service_faults.py
@@ -1,4 +1,4 @@
-"""Faults a stand-in plain service shows on command."""
+"""Faults that tests inject into a stand-in plain service."""
 
 import pydantic
 
@@ -6,19 +6,19 @@
 
 
 class ServiceFaults(strict_model.StrictModel):
-    """Faults in force; all off at first.
+    """Active faults; none by default.
 
     Parameters
     ----------
     drop_reply : int
-        Run this many calls and break the connection instead of the
-        reply.
+        Run this many calls, and close the connection instead of
+        responding.
     refuse : bool
-        Refuse all calls, with the service's own word for it.
+        Refuse all calls with an explicit refusal.
     status : int or None
-        Answer this status instead of running.
+        Respond with this status instead of running the call.
     delay_s : float
-        Time that each call takes.
+        Duration of each call.
     """
 
     drop_reply: int = pydantic.Field(default=0, ge=0)
--- a/limpetroute/standins/service_server.py
+++ b/limpetroute/standins/service_server.py
@@ -1,4 +1,4 @@
-"""The stand-in plain service: look-ups, and releases that count."""
+"""Server of the stand-in plain service, which counts its calls."""
 
 import asyncio
 import collections
@@ -22,7 +22,7 @@
 
 
 class ServiceState:
-    """What the service has run, by call and idempotency key."""
+    """State of the service, with its runs by call and idempotency key."""
 
     def __init__(self) -> None:
         self.faults = service_faults.ServiceFaults()
@@ -38,27 +38,27 @@
     """Runs any call and counts it."""
 
     def initialize(self, state: ServiceState) -> None:
-        """Take the state."""
+        """Set the service state."""
         self._state = state
 
     async def get(self, path: str) -> None:
-        """Run a look-up."""
+        """Run a ``GET`` call."""
         await self._run(path)
 
     async def post(self, path: str) -> None:
-        """Run a release."""
+        """Run a ``POST`` call."""
         await self._run(path)
 
     async def put(self, path: str) -> None:
-        """Run a change."""
+        """Run a ``PUT`` call."""
         await self._run(path)
 
     async def patch(self, path: str) -> None:
-        """Run a change."""
+        """Run a ``PATCH`` call."""
         await self._run(path)
 
     async def delete(self, path: str) -> None:
-        """Run a removal."""
+        """Run a ``DELETE`` call."""
         await self._run(path)
 
     async def _run(self, path: str) -> None:
@@ -82,8 +82,10 @@
         finally:
             state.in_progress -= 1
         if state.faults.drop_reply > 0:
-            left = state.faults.drop_reply - 1
-            state.faults = state.faults.model_copy(update={'drop_reply': left})
+            remaining = state.faults.drop_reply - 1
+            state.faults = state.faults.model_copy(
+                update={'drop_reply': remaining}
+            )
             self.request.connection.close()  # type: ignore[union-attr]
             return
         await self.finish(
@@ -100,38 +102,38 @@
     """``POST /standin/faults`` and ``GET /standin/counts``."""
 
     def initialize(self, state: ServiceState) -> None:
-        """Take the state."""
+        """Set the service state."""
         self._state = state
 
     def post(self) -> None:
-        """Replace all faults."""
+        """Replace the active faults."""
         self._state.faults = service_faults.ServiceFaults.model_validate_json(
             self.request.body
         )
         self.set_status(204)
 
     def get(self) -> None:
-        """Show how often each call ran."""
+        """Return how often each call ran."""
         self.finish({'runs': dict(self._state.runs)})
 
 
 class ServiceServer:
-    """One stand-in plain service.
+    """A stand-in plain service.
 
     Parameters
     ----------
     settings : StandinSettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, *, settings: standin_settings.StandinSettings) -> None:
         self.settings = settings
         self.state = ServiceState()
         self.port = 0
-        self._trust = settings.credentials()
+        self._credentials = settings.credentials()
         self._announcer = announcer.Announcer(
             http=caller.Caller(
-                tls=self._trust.client_tls, token=self._trust.token
+                tls=self._credentials.client_tls, token=self._credentials.token
             ),
             urls=settings.announce_urls,
             heartbeat_s=settings.heartbeat_s,
@@ -146,7 +148,7 @@
         return f'{type(self).__name__}(port={self.port!r})'
 
     def start(self) -> None:
-        """Listen and announce."""
+        """Start listening and sending heartbeats."""
         state = {'state': self.state}
         url = tornado.web.url
         self._server = tornado.httpserver.HTTPServer(
@@ -155,7 +157,7 @@
                     url('/standin/(?:faults|counts)', FaultsHandler, state),
                     url('/(.*)', CallHandler, state),
                 ],
-                tokens=self._trust.tokens,
+                tokens=self._credentials.tokens,
             ),
             ssl_options=self.settings.listen.tls_context(),
         )
@@ -167,7 +169,7 @@
         LOG.info('service %s on port %d', self.settings.runner_id, self.port)
 
     async def stop(self) -> None:
-        """Die as a killed process does: sockets close, nothing is said."""
+        """Close all sockets without notice, as if the process was killed."""
         if self._task is not None:
             self._task.cancel()
         if self._server is not None:
@@ -175,7 +177,7 @@
             await self._server.close_all_connections()
 
     async def leave(self) -> None:
-        """Say that no more work is wanted."""
+        """Announce that this runner accepts no more work."""
         self.state.leaving = True
         await self._announcer.announce()
 
--- a/limpetroute/standins/stream_faults.py
+++ b/limpetroute/standins/stream_faults.py
@@ -1,4 +1,4 @@
-"""Lines of an engine's stream, disordered on command."""
+"""Lines of an engine's stream, with injected disorder."""
 
 import json
 
@@ -12,14 +12,14 @@
     upto: int,
     faults: engine_faults.EngineFaults,
 ) -> list[str]:
-    """Return the lines of a run's events ``first`` to ``upto``.
+    """Return the lines of a run's events ``first`` to ``upto - 1``.
 
-    With ``disorder`` the batch comes backwards, and each event twice.
+    With ``disorder``, they are in reverse order, each one twice.
     """
-    places = list(range(first, upto))
+    indexes = list(range(first, upto))
     if faults.disorder:
-        places = sorted(places * 2, reverse=True)
+        indexes = sorted(indexes * 2, reverse=True)
     return [
-        json.dumps({'i': place, 't': run.words[place]}) + '\n'
-        for place in places
+        json.dumps({'i': index, 't': run.words[index]}) + '\n'
+        for index in indexes
     ]
