--- a/limpetroute/replay/__init__.py
+++ b/limpetroute/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Plays recorded traces through the product's own decisions."""
+"""Replays recorded traces through the production decision code."""
--- a/limpetroute/replay/control_player.py
+++ b/limpetroute/replay/control_player.py
@@ -1,4 +1,4 @@
-"""Plays the state that the control log's commands lead to."""
+"""Replays commands of the control log on a control state."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class ControlPlayer:
-    """Manifests, claims and fencing numbers, as committed in order."""
+    """Applies commands to manifests, claims and fencing numbers."""
 
     def __init__(self) -> None:
         self._state = _empty_state()
@@ -23,7 +23,7 @@
 
     @property
     def verbs(self) -> typing.Mapping[str, player.Verb]:
-        """Return the commands of the log, and what may happen to it."""
+        """Return the log's commands, a query and a restart, by name."""
         return {
             'submit': self._submit,
             'newest': self._newest,
@@ -37,9 +37,9 @@
 
     def _apply(self, command: commands.Command) -> results.Result:
         self._index += 1
-        # Through the log's own encoding, as a replica would apply it.
-        taken = commands.decode(commands.encode(command))
-        return self._state.apply(taken, self._index)
+        # Encodes and decodes the command, as the log of a replica does.
+        decoded = commands.decode(commands.encode(command))
+        return self._state.apply(decoded, self._index)
 
     def _submit(
         self, *, now_s: float, manifest: manifest_module.ManifestBody
@@ -115,7 +115,7 @@
         return self._apply(commands.NextFence(name=name))
 
     def _restore(self, *, now_s: float) -> None:
-        """Go on from a snapshot, as after a restart."""
+        """Reload the state from a snapshot, as a restart does."""
         data = self._state.dump()
         self._state = _empty_state()
         self._state.load(data)
--- a/limpetroute/replay/directory_player.py
+++ b/limpetroute/replay/directory_player.py
@@ -1,4 +1,4 @@
-"""Plays the directory of the runners that announce themselves."""
+"""Replays announcements of runners on a runner directory."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
 
 class DirectoryPlayer:
-    """A directory of runners."""
+    """Applies announcements and expiry to a directory of runners."""
 
     def __init__(self) -> None:
         self._directory = directory.Directory(timeout_s=3.0)
@@ -18,7 +18,7 @@
 
     @property
     def verbs(self) -> typing.Mapping[str, player.Verb]:
-        """Return what can happen to a directory."""
+        """Return the operations on a directory, by name."""
         return {
             'start': self._start,
             'announce': self._announce,
--- a/limpetroute/replay/group_player.py
+++ b/limpetroute/replay/group_player.py
@@ -1,4 +1,4 @@
-"""Plays a group of control replicas."""
+"""Replays events on a group of control replicas."""
 
 import random
 import typing
@@ -11,24 +11,25 @@
 
 
 class GroupPlayer:
-    """Replicas, their disks, and a network that can be cut.
+    """Simulates replicas, their disks and the network between them.
 
-    Messages take one step of `STEP_S`, and everything that is due up to
-    an event's time happens before the event.
+    The network delivers a message one step of `STEP_S` after it was
+    sent. Before each event of the trace the simulation runs up to the
+    event's time.
     """
 
     def __init__(self) -> None:
         self._hosts: dict[str, replica_host.ReplicaHost] = {}
         self._rng = random.Random(0)
         self._now_s = 0.0
-        self._flying: list[agreement.Envelope] = []
+        self._in_flight: list[agreement.Envelope] = []
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(hosts={list(self._hosts)!r})'
 
     @property
     def verbs(self) -> typing.Mapping[str, player.Verb]:
-        """Return what can happen to a group."""
+        """Return the operations on a group, by name."""
         return {
             'start': self._start,
             'propose': self._propose,
@@ -54,33 +55,36 @@
             host.start(random.Random(self._rng.random()), now_s)
 
     def _propose(self, *, now_s: float, host: str, command: str) -> str:
-        """Ask a host to commit; return what it says at once."""
+        """Propose a command; return the class name of the host's result.
+
+        Returns 'stopped' if the host is not running.
+        """
         self._advance(now_s)
-        found = self._host(host)
-        if found.replica is None:
+        target = self._host(host)
+        if target.replica is None:
             return 'stopped'
         event = agreement.Propose(commands=(command.encode(),))
-        sends, verdict = found.step(event, self._now_s)
-        self._send(found, sends)
-        return type(verdict).__name__
+        sends, proposal = target.step(event, self._now_s)
+        self._send(target, sends)
+        return type(proposal).__name__
 
     def _propose_many(self, *, now_s: float, host: str, count: int) -> int:
-        """Commit ``change-0`` and so on; return how many were taken."""
-        taken = 0
+        """Propose ``change-0`` and so on; return how many were appended."""
+        appended = 0
         for number in range(count):
-            got = self._propose(
+            outcome = self._propose(
                 now_s=now_s, host=host, command=f'change-{number}'
             )
-            taken += got == 'Appended'
-        return taken
+            appended += outcome == 'Appended'
+        return appended
 
     def _compact(self, *, now_s: float, host: str) -> None:
         self._advance(now_s)
-        found = self._host(host)
-        self._send(found, found.compact(self._now_s))
+        target = self._host(host)
+        self._send(target, target.compact(self._now_s))
 
     def _cut(self, *, now_s: float, host: str) -> None:
-        """Drop all that goes to and from a host, without a sign."""
+        """Drop all messages to and from a host silently."""
         self._advance(now_s)
         self._host(host).cut = True
 
@@ -94,15 +98,15 @@
 
     def _restart(self, *, now_s: float, host: str) -> None:
         self._advance(now_s)
-        found = self._host(host)
-        found.start(random.Random(self._rng.random()), self._now_s)
+        target = self._host(host)
+        target.start(random.Random(self._rng.random()), self._now_s)
 
     def _lose_disk(self, *, now_s: float, host: str) -> None:
         self._advance(now_s)
         self._host(host).lose_disk()
 
     def _leader(self, *, now_s: float) -> str | None:
-        """Return the host that may answer for the group."""
+        """Return the leader that may serve reads, or None."""
         self._advance(now_s)
         for host in self._running():
             assert host.replica is not None
@@ -111,14 +115,14 @@
         return None
 
     def _applied(self, *, now_s: float, host: str) -> dict[str, typing.Any]:
-        """Return how many commands a host has applied, and the last."""
+        """Return the number of commands a host applied, and the last."""
         self._advance(now_s)
         applied = self._host(host).applied
         last = applied[-1] if applied else None
         return {'count': len(applied), 'last': last}
 
     def _voters(self, *, now_s: float) -> list[str] | None:
-        """Return the identities that count for the leader's quorum."""
+        """Return the replica ids of the leader's voters, or None."""
         leader = self._leader(now_s=now_s)
         if leader is None:
             return None
@@ -152,11 +156,11 @@
         sends: list[agreement.Envelope],
     ) -> None:
         if not host.cut:
-            self._flying.extend(sends)
+            self._in_flight.extend(sends)
 
     def _deliver(self) -> None:
-        flying, self._flying = self._flying, []
-        for envelope in flying:
+        due, self._in_flight = self._in_flight, []
+        for envelope in due:
             for host in self._running():
                 if host.cut or host.replica_id != envelope.to:
                     continue
@@ -165,7 +169,10 @@
                 self._send(host, sends)
 
     def _replace_lost(self) -> None:
-        """Have the leader take in a host under its new identity."""
+        """Propose that the leader replaces a host's lost replica.
+
+        A host that lost its disk runs under a new replica id.
+        """
         for leader in self._running():
             assert leader.replica is not None
             if leader.replica.role is not agreement.Role.LEADER:
--- a/limpetroute/replay/guard_player.py
+++ b/limpetroute/replay/guard_player.py
@@ -1,4 +1,4 @@
-"""Plays the guard that proves a request was not run."""
+"""Replays the sends of a request on its send guard."""
 
 import typing
 
@@ -7,7 +7,11 @@
 
 
 class GuardPlayer:
-    """The sends of one request, and what its caller may be told."""
+    """Records sends and refusals of one request.
+
+    When the router gives up, the guard decides whether the caller may
+    get the answer that the request did not run.
+    """
 
     def __init__(self) -> None:
         self._guard = send_guard.SendGuard()
@@ -17,7 +21,7 @@
 
     @property
     def verbs(self) -> typing.Mapping[str, player.Verb]:
-        """Return what can happen between a request and its runners."""
+        """Return the events of a request's sends, by name."""
         return {
             'send': self._send,
             'refused': self._refused,
--- a/limpetroute/replay/lease_player.py
+++ b/limpetroute/replay/lease_player.py
@@ -1,4 +1,4 @@
-"""Plays the leases that entry hosts vote on."""
+"""Replays requests for leases that entry hosts vote on."""
 
 import typing
 
@@ -11,9 +11,10 @@
 
 
 class LeasePlayer:
-    """Hosts that want and vote, and a network that can be cut.
+    """Simulates lease holders, lease voters and the network between them.
 
-    Everything that is due up to an event's time happens before it.
+    Before each event of the trace the simulation runs up to the event's
+    time.
     """
 
     def __init__(self) -> None:
@@ -28,7 +29,7 @@
 
     @property
     def verbs(self) -> typing.Mapping[str, player.Verb]:
-        """Return what can happen to leases."""
+        """Return the operations on leases, by name."""
         return {
             'start': self._start,
             'want': self._want,
@@ -47,7 +48,11 @@
         duration_s: float = 6.0,
         renew_s: float = 2.0,
     ) -> None:
-        """Start hosts whose voters have waited out their silence."""
+        """Start hosts whose voters may vote at once.
+
+        A voter grants nothing for a while after its start, so the voters
+        get a start time two lease durations in the past.
+        """
         self._config = lease_config.LeaseConfig(
             duration_s=duration_s, renew_s=renew_s
         )
@@ -66,7 +71,7 @@
         self._holder(host).unwant(resource)
 
     def _cut_off(self, *, now_s: float, host: str) -> None:
-        """Drop all that goes to and from a host, without a sign."""
+        """Drop all messages to and from a host silently."""
         self._advance(now_s)
         self._cut.add(host)
 
@@ -75,20 +80,20 @@
         self._cut.discard(host)
 
     def _restart(self, *, now_s: float, host: str) -> None:
-        """Start a host anew; it has forgotten what it promised."""
+        """Start a host again, without the votes it gave before."""
         self._advance(now_s)
         self._holder(host)
         self._boot(host, list(self._voters), now_s)
 
     def _held_by(self, *, now_s: float, resource: str) -> dict[str, int]:
-        """Return the hosts that may use a lease, with its number."""
+        """Return the fencing number of the lease for each host holding it."""
         self._advance(now_s)
-        found = {}
+        fences = {}
         for host, holder in self._holders.items():
-            held = holder.held(resource, self._now_s)
-            if held is not None:
-                found[host] = held.fence
-        return found
+            grant = holder.held(resource, self._now_s)
+            if grant is not None:
+                fences[host] = grant.fence
+        return fences
 
     def _holder(self, host: str) -> lease_holder.LeaseHolder:
         if host not in self._holders:
@@ -108,8 +113,8 @@
         while self._now_s + STEP_S <= now_s + STEP_S / 2:
             self._now_s += STEP_S
             for host, holder in self._holders.items():
-                for voter, ask in holder.tick(self._now_s):
+                for voter, request in holder.tick(self._now_s):
                     if host != voter and {host, voter} & self._cut:
                         continue
-                    vote = self._voters[voter].vote(ask, self._now_s)
+                    vote = self._voters[voter].vote(request, self._now_s)
                     holder.on_vote(vote, self._now_s)
--- a/limpetroute/replay/parts.py
+++ b/limpetroute/replay/parts.py
@@ -1,4 +1,4 @@
-"""The parts that a trace can act on, by name."""
+"""The components that a trace can drive, by name."""
 
 import typing
 
@@ -23,12 +23,12 @@
 
 
 def make(part: str) -> player.Player:
-    """Make a new part.
+    """Make a new player for a component.
 
     Raises
     ------
     PlayError
-        If there is none of that name.
+        If no component has that name.
     """
     if part not in PARTS:
         allowed = ', '.join(PARTS)
--- a/limpetroute/replay/player.py
+++ b/limpetroute/replay/player.py
@@ -1,4 +1,4 @@
-"""A part of the product that a trace acts on."""
+"""Calls a component with the operations of a trace."""
 
 import typing
 
@@ -8,30 +8,31 @@
 
 
 class Player(typing.Protocol):
-    """One part, driven by the lines of a trace."""
+    """One component, driven by the lines of a trace."""
 
     @property
     def verbs(self) -> typing.Mapping[str, Verb]:
-        """What the part can be told, by name.
+        """The component's operations, by name.
 
-        A verb takes ``now_s`` and the line's values by name, and
-        returns what came of it.
+        An operation takes the time ``now_s`` and the line's arguments as
+        keyword arguments, and returns its outcome.
         """
 
 
 class PlayError(ValueError):
-    """A line that the part does not understand."""
+    """A trace line that its component cannot run."""
 
 
 def play(
     player: Player, verb: str, args: dict[str, typing.Any], now_s: float
 ) -> typing.Any:
-    """Tell a part one line's verb.
+    """Run one operation of a component and return its outcome.
 
     Raises
     ------
     PlayError
-        If there is no such verb, or the values do not fit it.
+        If the component has no such operation, or an argument is
+        missing, unexpected or of the wrong type.
     """
     verbs = player.verbs
     if verb not in verbs:
@@ -41,6 +42,6 @@
     try:
         return checked(now_s=now_s, **args)
     except pydantic.ValidationError as exc:
-        item = exc.errors(include_url=False)[0]
-        path = '.'.join(str(part) for part in item['loc'])
-        raise PlayError(f'with.{path}: {item["msg"]}') from exc
+        error = exc.errors(include_url=False)[0]
+        path = '.'.join(str(key) for key in error['loc'])
+        raise PlayError(f'with.{path}: {error["msg"]}') from exc
--- a/limpetroute/replay/record_player.py
+++ b/limpetroute/replay/record_player.py
@@ -1,4 +1,4 @@
-"""Plays one request record and the callers attached to it."""
+"""Replays one request record and the callers attached to it."""
 
 import typing
 
@@ -8,7 +8,7 @@
 
 
 class RecordPlayer:
-    """A request record, and the connections that read from it."""
+    """Drives a request record and the attachments that read from it."""
 
     def __init__(self) -> None:
         self._record: request_record.RequestRecord | None = None
@@ -19,7 +19,7 @@
 
     @property
     def verbs(self) -> typing.Mapping[str, player.Verb]:
-        """Return what can happen to a record."""
+        """Return the operations on a record, by name."""
         return {
             'start': self._start,
             'append': self._append,
@@ -30,9 +30,9 @@
         }
 
     @property
-    def _known(self) -> request_record.RequestRecord:
+    def _started_record(self) -> request_record.RequestRecord:
         if self._record is None:
-            raise player.PlayError('the record is not started')
+            raise player.PlayError('the record has not been started')
         return self._record
 
     def _attachment(self, number: int) -> request_record.Attachment:
@@ -60,7 +60,7 @@
 
     def _append(self, *, now_s: float, text: str) -> int | str:
         try:
-            return self._known.append(text)
+            return self._started_record.append(text)
         except ValueError as exc:
             return str(exc)
 
@@ -71,7 +71,7 @@
         kind: run_end.EndKind,
         finish_reason: str = 'stop',
     ) -> bool:
-        return self._known.finish(
+        return self._started_record.finish(
             run_end.RunEnd(kind=kind, finish_reason=finish_reason)
         )
 
@@ -79,18 +79,21 @@
         self, *, now_s: float, after_index: int | None = None
     ) -> request_record.Attachment | str:
         try:
-            found = self._known.attach(after_index=after_index)
+            attachment = self._started_record.attach(after_index=after_index)
         except ValueError as exc:
             return str(exc)
-        self._attachments[found.number] = found
-        return found
+        self._attachments[attachment.number] = attachment
+        return attachment
 
     def _read(
         self, *, now_s: float, number: int, upto: int | None = None
     ) -> list[str]:
-        """Hand an attachment what it may receive and has not yet."""
+        """Deliver an attachment's next events and return them.
+
+        An attachment that a newer one replaced receives nothing.
+        """
         attachment = self._attachment(number)
-        record = self._known
+        record = self._started_record
         if not record.is_current(attachment):
             return []
         stop = len(record.events) if upto is None else upto
@@ -103,7 +106,7 @@
 
     def _read_end(self, *, now_s: float, number: int) -> run_end.RunEnd | None:
         attachment = self._attachment(number)
-        record = self._known
+        record = self._started_record
         if not record.is_current(attachment) or record.end is None:
             return None
         record.mark_end_delivered(attachment)
--- a/limpetroute/replay/replayer.py
+++ b/limpetroute/replay/replayer.py
@@ -1,4 +1,4 @@
-"""Plays a trace and compares each outcome with what is stated."""
+"""Replays a trace and compares outcomes with the expected ones."""
 
 import dataclasses
 import typing
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Step:
-    """One event with a stated outcome, and what came of it."""
+    """An event with an expected outcome, and its actual outcome."""
 
     event: trace_module.TraceEvent
     got: typing.Any
@@ -21,18 +21,18 @@
 
 
 def replay(trace: trace_module.Trace) -> list[Step]:
-    """Play a trace on its own clock.
+    """Replay a trace on its own clock.
 
     Returns
     -------
     list of Step
-        One for each stated outcome, up to and with the first that
-        differs: what comes after it follows from it.
+        One step for each expected outcome, up to and including the first
+        that differs. Later differences would only follow from it.
 
     Raises
     ------
     TraceError
-        If a line does not fit the part it acts on.
+        If a component cannot run a line.
     """
     players: dict[tuple[str, str], player.Player] = {}
     steps = []
--- a/limpetroute/replay/replica_host.py
+++ b/limpetroute/replay/replica_host.py
@@ -1,4 +1,4 @@
-"""One control host of a replayed group: a replica and its disk."""
+"""A simulated control host: a replica and its disk."""
 
 import dataclasses
 import json
@@ -11,14 +11,14 @@
 
 
 class ReplicaHost:
-    """A replica that syncs at once and applies commands to a list.
+    """Runs a replica that syncs at once and applies commands to a list.
 
     Parameters
     ----------
     host_id : str
-        The host.
+        Identifier of the host.
     saved : SavedState
-        What its disk holds.
+        Content of the host's disk.
     """
 
     __slots__ = (
@@ -44,7 +44,7 @@
         return f'{type(self).__name__}(host_id={self.host_id!r})'
 
     def start(self, rng: random.Random, now_s: float) -> None:
-        """Start from what the disk holds."""
+        """Start the replica from the content of the disk."""
         data = self.saved.snapshot.data
         self.applied = json.loads(data) if data else []
         self.replica = agreement.Replica(
@@ -56,18 +56,18 @@
         )
 
     def stop(self) -> None:
-        """End the process; the disk stays."""
+        """Stop the replica; the disk keeps its content."""
         self.replica = None
 
     def lose_disk(self) -> None:
-        """Lose the disk; the host comes back under a new identity."""
+        """Stop the replica, erase the disk and assign a new replica id."""
         self.stop()
         self.incarnation += 1
         self.replica_id = f'{self.host_id}.{self.incarnation}'
         self.saved = agreement.SavedState()
 
     def compact(self, now_s: float) -> list[agreement.Envelope]:
-        """Put a snapshot in the place of the applied log."""
+        """Replace the applied part of the log with a snapshot."""
         if self.replica is None:
             return []
         event = agreement.Compact(
@@ -81,24 +81,27 @@
     ) -> tuple[
         list[agreement.Envelope], agreement.Appended | agreement.Refused | None
     ]:
-        """Take an event; return what is to be sent, and a verdict."""
+        """Handle an event; return messages to send and a proposal's result.
+
+        Writes are saved and confirmed to the replica at once.
+        """
         assert self.replica is not None
         sends: list[agreement.Envelope] = []
-        got = self.replica.step(event, now_s)
-        verdict = got.proposal
+        output = self.replica.step(event, now_s)
+        proposal = output.proposal
         while True:
-            sends.extend(got.sends)
-            if got.restored is not None:
-                self.applied = json.loads(got.restored.data)
-            for entry in got.committed:
+            sends.extend(output.sends)
+            if output.restored is not None:
+                self.applied = json.loads(output.restored.data)
+            for entry in output.committed:
                 if entry.kind is agreement.EntryKind.COMMAND:
                     self.applied.append(entry.data.decode())
-            if got.write_id is None:
-                return sends, verdict
-            for write in got.writes:
+            if output.write_id is None:
+                return sends, proposal
+            for write in output.writes:
                 self._save(write)
-            synced = agreement.Persisted(write_id=got.write_id)
-            got = self.replica.step(synced, now_s)
+            persisted = agreement.Persisted(write_id=output.write_id)
+            output = self.replica.step(persisted, now_s)
 
     def _save(
         self,
@@ -114,13 +117,13 @@
             return
         if isinstance(write, agreement.SaveEntries):
             first = write.entries[0].index
-            kept = tuple(item for item in old.entries if item.index < first)
+            kept = tuple(entry for entry in old.entries if entry.index < first)
             self.saved = dataclasses.replace(old, entries=kept + write.entries)
             return
         last = write.snapshot.last_index
-        rest = tuple(item for item in old.entries if item.index > last)
+        newer = tuple(entry for entry in old.entries if entry.index > last)
         self.saved = dataclasses.replace(
             old,
             snapshot=write.snapshot,
-            entries=rest if write.keeps_log else (),
+            entries=newer if write.keeps_log else (),
         )
--- a/limpetroute/replay/router_player.py
+++ b/limpetroute/replay/router_player.py
@@ -1,4 +1,4 @@
-"""Plays the decisions."""
+"""Replays calls of the `Router` interface on a routing policy."""
 
 import typing
 
@@ -15,7 +15,7 @@
 
 
 class RouterPlayer:
-    """A router on the trace's clock."""
+    """Drives a routing policy on the trace's clock."""
 
     def __init__(self) -> None:
         self._policy: router.Router = round_robin.RoundRobin()
@@ -25,7 +25,7 @@
 
     @property
     def verbs(self) -> typing.Mapping[str, player.Verb]:
-        """Return the calls of the `Router` interface."""
+        """Return the operations of the `Router` interface, by name."""
         return {
             'start': self._start,
             'configure': self._configure,
@@ -49,7 +49,9 @@
         try:
             self._policy = routers.make(policy)
         except ValueError as exc:
-            raise player.PlayError(f'with.policy: no {policy!r}') from exc
+            raise player.PlayError(
+                f'with.policy: no policy {policy!r}'
+            ) from exc
 
     def _configure(
         self, *, now_s: float, config: policy_config.PolicyConfig
--- a/limpetroute/replay/trace.py
+++ b/limpetroute/replay/trace.py
@@ -1,4 +1,4 @@
-"""A recorded trace: events with the outcomes stated for them."""
+"""A recorded trace: events and their expected outcomes."""
 
 import dataclasses
 import typing
@@ -13,19 +13,19 @@
     line : int
         Line in the file, from 1.
     at_s : float
-        Time on the trace's clock; never goes back.
+        Time on the trace's clock in seconds; never decreases.
     part : str
-        Kind of part that acts, for instance ``router``.
+        Kind of component that the event drives, such as ``router``.
     name : str
-        Which part of that kind, where there are several.
+        Name of the component, where a trace has several of a kind.
     verb : str
-        What it does.
+        Operation of the component.
     args : dict
-        What it is given.
+        Arguments of the operation.
     stated : bool
-        Whether an outcome is stated.
+        Whether the trace expects an outcome.
     expected : object
-        The outcome.
+        Expected outcome, None if there is none.
     """
 
     line: int
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Trace:
-    """A whole trace and its story."""
+    """A whole trace and its description."""
 
     story: str
     events: tuple[TraceEvent, ...]
--- a/limpetroute/replay/trace_error.py
+++ b/limpetroute/replay/trace_error.py
@@ -1,15 +1,15 @@
-"""A trace that cannot be read."""
+"""The error for a trace that cannot be read."""
 
 
 class TraceError(ValueError):
-    """A trace that cannot be read, and where.
+    """A trace cannot be read or replayed at a line and column.
 
     Parameters
     ----------
     line, column : int
-        Place in the file, both from 1.
+        Position in the file; both count from 1.
     text : str
-        What is wrong there.
+        What is wrong at this position.
     """
 
     def __init__(self, *, line: int, column: int, text: str) -> None:
--- a/limpetroute/replay/trace_reader.py
+++ b/limpetroute/replay/trace_reader.py
@@ -1,4 +1,4 @@
-"""Reads a trace from JSON lines."""
+"""Parses a trace from JSON lines."""
 
 import json
 import math
@@ -14,12 +14,12 @@
 
 
 def read(data: bytes) -> trace_module.Trace:
-    """Read a trace.
+    """Parse a trace.
 
     Raises
     ------
     TraceError
-        At the first place that is not of the format.
+        At the first position that violates the format.
     """
     lines = data.split(b'\n')
     if lines and not lines[-1]:
@@ -42,17 +42,17 @@
     return trace_module.Trace(story=story, events=tuple(events))
 
 
-def _story(head: dict[str, typing.Any]) -> str:
-    if head.get('trace') != FORMAT:
+def _story(header: dict[str, typing.Any]) -> str:
+    if header.get('trace') != FORMAT:
         raise trace_error.TraceError(
             line=1,
             column=1,
             text=f'the first line needs "trace": {FORMAT} and a "story"',
         )
-    story = head.get('story')
+    story = header.get('story')
     if not isinstance(story, str) or not story:
         raise trace_error.TraceError(
-            line=1, column=1, text='story: a text is needed'
+            line=1, column=1, text='story: not a non-empty string'
         )
     return story
 
@@ -125,7 +125,7 @@
 def _error(
     line: bytes, number: int, field: str, text: str
 ) -> trace_error.TraceError:
-    place = line.decode().find(json.dumps(field))
+    offset = line.decode().find(json.dumps(field))
     return trace_error.TraceError(
-        line=number, column=max(0, place) + 1, text=text
+        line=number, column=max(0, offset) + 1, text=text
     )
--- a/tests/replay/test_recording.py
+++ b/tests/replay/test_recording.py
@@ -10,7 +10,7 @@
 from limpetroute.replay import trace_reader
 from tests.whole_path import processes
 
-SECRET = 'the secret wording of a guarantee'
+PROMPT = 'the secret wording of a guarantee'
 
 
 def _entry_settings(path, max_bytes):
@@ -23,6 +23,7 @@
 
 
 def _serve_and_record(folder, path, max_bytes=1 << 20):
+    """Serve one request with an entry host that records a trace."""
     started = []
     try:
         settings = _entry_settings(path, max_bytes)
@@ -46,13 +47,13 @@
             started.append(runner)
             runner.wait_ready()
         processes.wait_for_runners(internal, 2)
-        body = {'model': 'review', 'prompt': SECRET, 'max_tokens': 5}
-        call = urllib.request.Request(
+        body = {'model': 'review', 'prompt': PROMPT, 'max_tokens': 5}
+        request = urllib.request.Request(
             f'http://127.0.0.1:{port}/v1/completions',
             data=json.dumps(body).encode(),
         )
-        with urllib.request.urlopen(call, timeout=20) as got:
-            assert got.status == 200
+        with urllib.request.urlopen(request, timeout=20) as response:
+            assert response.status == 200
     finally:
         codes = [process.stop() for process in reversed(started)]
     assert codes == [0] * len(started)
@@ -62,11 +63,11 @@
     path = tmp_path / 'recorded.jsonl'
     _serve_and_record(tmp_path, path)
     data = path.read_bytes()
-    assert SECRET.encode() not in data
+    assert PROMPT.encode() not in data
     kinds = {
-        item['is']
+        action['is']
         for line in data.splitlines()[1:]
-        for item in json.loads(line).get('expect', [])
+        for action in json.loads(line).get('expect', [])
     }
     assert kinds == {'StartPrefill', 'StartDecode'}
     assert main.main(['replay', str(path)]) == 0
@@ -81,7 +82,7 @@
     assert all(step.agrees for step in steps)
 
 
-def test_a_trace_is_never_written_over(tmp_path):
+def test_existing_trace_is_never_overwritten(tmp_path):
     path = tmp_path / 'recorded.jsonl'
     path.write_text('mine')
     with pytest.raises(FileExistsError):
@@ -89,12 +90,12 @@
     assert path.read_text() == 'mine'
 
 
-def test_full_disk_ends_the_recording_alone(caplog):
+def test_full_disk_stops_only_the_recording(caplog):
     writer = trace_writer.TraceWriter.__new__(trace_writer.TraceWriter)
     writer._path = '/dev/full'
     writer._left_bytes = 1 << 20
     writer._file = open('/dev/full', 'wb', buffering=0)  # noqa: SIM115
     writer.write(time.monotonic(), 'tokens', work_id='w', count=1)
     writer.write(time.monotonic(), 'tokens', work_id='w', count=1)
-    assert [item.levelname for item in caplog.records] == ['WARNING']
+    assert [record.levelname for record in caplog.records] == ['WARNING']
     writer.close()
--- a/tests/replay/test_traces.py
+++ b/tests/replay/test_traces.py
@@ -13,15 +13,15 @@
 
 FOLDER = pathlib.Path(__file__).resolve().parents[2] / 'traces'
 TRACES = sorted(FOLDER.glob('*.jsonl'))
-HEAD = b'{"trace": 1, "story": "s"}\n'
+HEADER = b'{"trace": 1, "story": "s"}\n'
 
 
 def _id(path):
     return path.stem
 
 
-def _changed(value):
-    """Return a value that is like the given one, but wrong."""
+def _alter(value):
+    """Return a different value, of the same type where possible."""
     if isinstance(value, bool):
         return not value
     if isinstance(value, int | float):
@@ -36,12 +36,12 @@
 
 
 def _mutants(body):
-    """Yield each single change of a stated outcome."""
-    yield _changed(body)
+    """Yield the expected outcome with each of its values changed once."""
+    yield _alter(body)
     if isinstance(body, list):
-        for place, item in enumerate(body):
+        for index, item in enumerate(body):
             for wrong in _mutants(item):
-                yield [*body[:place], wrong, *body[place + 1 :]]
+                yield [*body[:index], wrong, *body[index + 1 :]]
     if isinstance(body, dict):
         for name, item in body.items():
             for wrong in _mutants(item):
@@ -53,13 +53,13 @@
 
 
 @pytest.mark.parametrize('path', TRACES, ids=_id)
-def test_outcomes_are_as_stated(path):
+def test_outcomes_match_the_expected_ones(path):
     steps = replayer.replay(trace_reader.read(path.read_bytes()))
     assert all(step.agrees for step in steps)
 
 
 @pytest.mark.parametrize('path', TRACES, ids=_id)
-def test_each_stated_outcome_can_fail(path):
+def test_each_altered_outcome_is_detected(path):
     lines = path.read_bytes().splitlines()
     for number, line in enumerate(lines[1:], 1):
         body = json.loads(line)
@@ -73,26 +73,26 @@
             assert steps[-1].event.line == number + 1
 
 
-def test_first_difference_is_named(tmp_path, capsys):
+def test_first_difference_is_reported(tmp_path, capsys):
     path = tmp_path / 'x.jsonl'
     path.write_bytes(
-        HEAD
+        HEADER
         + b'{"at_s": 0, "on": "guard", "do": "give_up", "expect": "not_run"}\n'
         + b'{"at_s": 1, "on": "guard", "do": "give_up", "expect": "x"}\n'
         + b'{"at_s": 2, "on": "guard", "do": "give_up", "expect": "y"}\n'
     )
     assert main.main(['replay', str(path)]) == 1
-    shown = capsys.readouterr().out
-    assert 'first event that differs: line 3' in shown
+    output = capsys.readouterr().out
+    assert 'first event that differs: line 3' in output
     assert main.main(['replay', '--json', str(path)]) == 1
-    shown = json.loads(capsys.readouterr().out)
-    assert [step['agrees'] for step in shown['steps']] == [True, False]
-    assert shown['steps'][1]['expected'] == 'x'
-    assert shown['steps'][1]['got'] == 'not_run'
+    output = json.loads(capsys.readouterr().out)
+    assert [step['agrees'] for step in output['steps']] == [True, False]
+    assert output['steps'][1]['expected'] == 'x'
+    assert output['steps'][1]['got'] == 'not_run'
 
 
 @pytest.mark.parametrize(
-    ('line', 'place', 'said'),
+    ('line', 'position', 'message'),
     [
         (b'{"at_s": 0', 'line 2 column 11', 'delimiter'),
         (b'[]', 'line 2 column 1', 'not a JSON object'),
@@ -127,17 +127,19 @@
         ),
     ],
 )
-def test_unreadable_line_is_named(tmp_path, capsys, line, place, said):
+def test_unreadable_line_is_reported(
+    tmp_path, capsys, line, position, message
+):
     path = tmp_path / 'x.jsonl'
-    path.write_bytes(HEAD + line + b'\n')
+    path.write_bytes(HEADER + line + b'\n')
     assert main.main(['replay', str(path)]) == 2
-    shown = capsys.readouterr().err
-    assert f'{path}: {place}' in shown
-    assert said in shown
+    output = capsys.readouterr().err
+    assert f'{path}: {position}' in output
+    assert message in output
 
 
 @pytest.mark.parametrize('data', [b'', b'{}\n', b'{"trace": 2}\n'])
-def test_file_that_is_no_trace(tmp_path, capsys, data):
+def test_file_that_is_not_a_trace_is_refused(tmp_path, capsys, data):
     path = tmp_path / 'x.jsonl'
     path.write_bytes(data)
     assert main.main(['replay', str(path)]) == 2
@@ -147,19 +149,19 @@
 
 
 @pytest.mark.parametrize('path', TRACES, ids=_id)
-def test_check_knows_traces(path):
+def test_check_accepts_traces(path):
     assert main.main(['check', str(path)]) == 0
 
 
 @hypothesis.given(
     path=strategies.sampled_from(TRACES),
-    place=strategies.floats(0, 1),
-    byte=strategies.binary(max_size=3),
+    fraction=strategies.floats(0, 1),
+    replacement=strategies.binary(max_size=3),
 )
-def test_damaged_traces_are_refused_or_played(path, place, byte):
+def test_damaged_traces_are_refused_or_played(path, fraction, replacement):
     data = path.read_bytes()
-    cut = int(place * len(data))
-    damaged = data[:cut] + byte + data[cut + 1 :]
+    offset = int(fraction * len(data))
+    damaged = data[:offset] + replacement + data[offset + 1 :]
     try:
         replayer.replay(trace_reader.read(damaged))
     except trace_error.TraceError as exc:
@@ -167,7 +169,7 @@
         assert exc.column >= 1
 
 
-def test_each_part_is_in_a_trace():
+def test_each_component_is_in_a_trace():
     used = {
         json.loads(line)['on']
         for path in TRACES
--- a/tests/replay/test_traces_catch_faults.py
+++ b/tests/replay/test_traces_catch_faults.py
@@ -1,4 +1,4 @@
-"""Takes guards out of the product; the traces must then differ."""
+"""Disables one safeguard at a time; its trace must then differ."""
 
 import pytest
 
@@ -23,27 +23,27 @@
     return replayer.replay(trace_reader.read(data))[-1].agrees
 
 
-def _forget_end(self, work_id, how, now_s):
-    """A router that keeps what a gone caller held."""
+def _ignore_end(self, work_id, how, now_s):
+    """Keep the slot and queue entry of a caller that left."""
 
 
-def _forgetful_voter(self, *, voter_id, config, started_s):
+def _init_voter_without_waiting(self, *, voter_id, config, started_s):
     _LEASE_VOTER_INIT(
         self, voter_id=voter_id, config=config, started_s=started_s - 1e6
     )
 
 
-def _accept_any(self, command):
+def _accept_every_manifest(self, command):
     return manifest_store.Accepted(
         number=command.number, digest=command.digest, resent=False
     )
 
 
-def _grant_any(self, command, fence):
+def _grant_every_claim(self, command, fence):
     return results.Granted(fence=fence)
 
 
-def _void_nothing(self, command):
+def _withdraw_nothing(self, command):
     return results.Done()
 
 
@@ -55,70 +55,80 @@
     return True
 
 
-def _any_proof(self):
+def _always_prove_not_run(self):
     return 'any'
 
 
-def _deliver_nothing(self, attachment, index):
-    """A record that does not note what was delivered."""
+def _skip_delivery_mark(self, attachment, index):
+    """Do not record which events were delivered."""
 
 
 def _never_older(new, old):
     return False
 
 
-def _always_heard(self, now_s):
+def _always_in_contact(self, now_s):
     return now_s
 
 
 _LEASE_VOTER_INIT = lease_voter.LeaseVoter.__init__
 
 
-def _avoid_nobody(self, *args, **kwargs):
-    """A router that remembers no runner's failure."""
+def _avoid_no_runner(self, *args, **kwargs):
+    """Do not record that a runner failed."""
 
 
-_STAYING = property(lambda self: not self.ejected)
+_USABLE_WHILE_LEAVING = property(lambda self: not self.ejected)
 
 
 ROUTER = full_policy.FullPolicy
 RECORD = request_record.RequestRecord
 FAULTS = [
-    ('gone-caller-frees-its-slot', ROUTER, 'on_end', _forget_end),
-    ('gone-caller-in-the-queue', ROUTER, 'on_end', _forget_end),
+    ('gone-caller-frees-its-slot', ROUTER, 'on_end', _ignore_end),
+    ('gone-caller-in-the-queue', ROUTER, 'on_end', _ignore_end),
     (
         'leaving-runner-gets-no-new-work',
         runner_state.RunnerState,
         'usable',
-        _STAYING,
+        _USABLE_WHILE_LEAVING,
+    ),
+    ('runner-dies-while-writing', ROUTER, '_avoid', _avoid_no_runner),
+    (
+        'stalled-transfer-is-tried-elsewhere',
+        ROUTER,
+        '_avoid',
+        _avoid_no_runner,
+    ),
+    (
+        'answer-is-delivered-once',
+        RECORD,
+        'mark_delivered',
+        _skip_delivery_mark,
     ),
-    ('runner-dies-while-writing', ROUTER, '_avoid', _avoid_nobody),
-    ('stalled-transfer-is-tried-elsewhere', ROUTER, '_avoid', _avoid_nobody),
-    ('answer-is-delivered-once', RECORD, 'mark_delivered', _deliver_nothing),
     ('resumed-answer-has-no-seam', RECORD, 'is_current', _always_current),
     (
         'not-run-was-not-run',
         send_guard.SendGuard,
         'not_run_proof',
-        _any_proof,
+        _always_prove_not_run,
     ),
     (
         'manifests-with-equal-numbers',
         control_state.ControlState,
         '_submit',
-        _accept_any,
+        _accept_every_manifest,
     ),
     (
         'release-confirmation-runs-once',
         claim_table.ClaimTable,
         'make',
-        _grant_any,
+        _grant_every_claim,
     ),
     (
         'lost-claim-never-comes-back',
         claim_table.ClaimTable,
         'withdraw',
-        _void_nothing,
+        _withdraw_nothing,
     ),
     (
         'fencing-numbers-only-grow',
@@ -131,25 +141,25 @@
         'restarted-voter-promises-nothing-twice',
         lease_voter.LeaseVoter,
         '__init__',
-        _forgetful_voter,
+        _init_voter_without_waiting,
     ),
     (
         'isolated-leader-commits-nothing',
         replica.Replica,
         '_quorum_round_s',
-        _always_heard,
+        _always_in_contact,
     ),
 ]
 
 
 @pytest.mark.parametrize(
-    ('name', 'owner', 'guard', 'fault'),
+    ('name', 'owner', 'attribute', 'replacement'),
     FAULTS,
     ids=[fault[0] for fault in FAULTS],
 )
 def test_trace_differs_without_the_guard(
-    monkeypatch, name, owner, guard, fault
+    monkeypatch, name, owner, attribute, replacement
 ):
     assert _agrees(name)
-    monkeypatch.setattr(owner, guard, fault)
+    monkeypatch.setattr(owner, attribute, replacement)
     assert not _agrees(name)
