--- a/limpetroute/cli/bench.py
+++ b/limpetroute/cli/bench.py
@@ -66,8 +66,8 @@
 
 
 def _capacity(args: dict[str, typing.Any]) -> int:
-    # Its first figures are of memory by import: nothing that this
-    # command does not need itself may be imported before.
+    # The first measurements are the memory that imports take, so nothing
+    # that this command does not need may be imported before them.
     from limpetroute.bench.capacity import run as capacity_run
 
     figures, rows = capacity_run.measure()
@@ -81,7 +81,7 @@
 def _narrow(
     body: experiment.ExperimentBody, args: dict[str, typing.Any]
 ) -> experiment.ExperimentBody:
-    """Keep what the options ask for."""
+    """Limit an experiment to the seeds, cases and policies selected."""
     changes: dict[str, typing.Any] = {}
     if args['--seeds'] is not None:
         count = args['--seeds']
@@ -109,7 +109,7 @@
     for name in wanted:
         if name in known:
             continue
-        allowed = ', '.join(word for word in known if word)
+        allowed = ', '.join(item for item in known if item)
         line = f'{field}: {name!r} is not one of: {allowed}'
         raise errors.InvalidInputError(lines=[line])
 
@@ -120,7 +120,7 @@
 
     total = len(body.cases) * len(body.policies) * len(body.seeds)
     screen = rich_console.Console(stderr=True)
-    found = list(
+    results = list(
         progress.track(
             experiment_run.plays(body, body.seeds),
             description=body.name,
@@ -128,11 +128,11 @@
             console=screen,
         )
     )
-    rows = experiment_run.summarize(found)
+    rows = experiment_run.summarize(results)
     for row in rows:
         print(_line(row))
     if args['--json'] is not None:
-        result = {'experiment': body.name, 'rows': rows, 'plays': found}
+        result = {'experiment': body.name, 'rows': rows, 'plays': results}
         _write(args['--json'], json.dumps(result, indent=1))
     if args['--html'] is not None:
         page = report_html.render(body.name, body.note, rows)
@@ -141,11 +141,11 @@
 
 
 def _line(row: typing.Mapping[str, typing.Any]) -> str:
-    good = row['goodput_per_s']
+    goodput = row['goodput_per_s']
     return (
         f'{row["case"]:16} {row["policy"]:24} '
-        f'goodput/s {good["median"]:7.2f} '
-        f'({good["least"]:.2f}..{good["most"]:.2f}) '
+        f'goodput/s {goodput["median"]:7.2f} '
+        f'({goodput["least"]:.2f}..{goodput["most"]:.2f}) '
         f'wasted {row["wasted_prefill"]["median"]:.4f} '
         f'wrongly admitted {row["wrongly_admitted"]["median"]:.3f}'
     )
@@ -178,8 +178,8 @@
             f'room checks {row.room_checks:6.2f}'
         )
     if args['--json'] is not None:
-        found = [dataclasses.asdict(row) for row in rows]
-        _write(args['--json'], json.dumps({'cost': found}, indent=1))
+        results = [dataclasses.asdict(row) for row in rows]
+        _write(args['--json'], json.dumps({'cost': results}, indent=1))
     return EXIT_OK
 
 
@@ -195,8 +195,8 @@
             f'bound on time {row.bound:.3f}'
         )
     if args['--json'] is not None:
-        found = [dataclasses.asdict(row) for row in rows]
-        _write(args['--json'], json.dumps({'lone_runner': found}, indent=1))
+        results = [dataclasses.asdict(row) for row in rows]
+        _write(args['--json'], json.dumps({'lone_runner': results}, indent=1))
     return EXIT_OK
 
 
--- a/limpetroute/cli/control.py
+++ b/limpetroute/cli/control.py
@@ -48,9 +48,9 @@
 def _make(
     settings: control_settings.ControlSettings,
 ) -> server.ControlServer:
-    parts: list[server_component.MakeComponent] = []
+    components: list[server_component.MakeComponent] = []
     if settings.public_listen is not None:
-        parts = [
+        components = [
             functools.partial(
                 control_port.ControlPort, listen=settings.public_listen
             ),
@@ -59,13 +59,13 @@
             ),
         ]
     if settings.metrics is not None:
-        parts.append(
+        components.append(
             functools.partial(
                 metrics_component.MetricsComponent, listen=settings.metrics
             )
         )
-    return server.ControlServer(settings=settings, make_components=parts)
+    return server.ControlServer(settings=settings, make_components=components)
 
 
 def _print_ready(control: server.ControlServer) -> None:
-    serving.say_ready(f'ready: control {control.port}')
+    serving.print_ready_line(f'ready: control {control.port}')
--- a/limpetroute/cli/demo.py
+++ b/limpetroute/cli/demo.py
@@ -27,12 +27,12 @@
     """Run the command."""
     assert __doc__ is not None
     args = docopt.docopt(__doc__, list(argv))
-    word = args['--port']
-    if not word.isdigit() or int(word) > MAX_PORT:
-        print(f'--port: {word!r} is not 0 to {MAX_PORT}', file=sys.stderr)
+    port_text = args['--port']
+    if not port_text.isdigit() or int(port_text) > MAX_PORT:
+        print(f'--port: {port_text!r} is not 0 to {MAX_PORT}', file=sys.stderr)
         return exit_code.USAGE
     return serving.serve(
-        lambda: demo_fleet.DemoFleet(port=int(word)),
+        lambda: demo_fleet.DemoFleet(port=int(port_text)),
         _print_ready,
         logs=sys.stderr,
     )
--- a/limpetroute/cli/demo_fleet.py
+++ b/limpetroute/cli/demo_fleet.py
@@ -1,4 +1,4 @@
-"""Control, entry and stand-in runners as tasks of one process."""
+"""Runs control, entry and stand-in runners as tasks of one process."""
 
 import pathlib
 import tempfile
@@ -19,7 +19,7 @@
 
 
 class DemoFleet:
-    """The smallest whole fleet.
+    """One control host, one entry host and three stand-in runners.
 
     Parameters
     ----------
@@ -51,17 +51,17 @@
 
     @property
     def internal_url(self) -> str:
-        """Where operators ask."""
+        """URL of the entry host's internal port, for operator commands."""
         port = self._entry.internal_port if self._entry else 0
         return f'http://127.0.0.1:{port}'
 
     @property
     def control_url(self) -> str:
-        """Where manifests are submitted."""
+        """URL of the control host, for submitting manifests."""
         return self._control.url
 
     def start(self) -> None:
-        """Start every part."""
+        """Start the control host, the entry host and the runners."""
         self._control.start()
         self._entry = entry_server.EntryServer(
             settings=entry_settings.EntrySettings(
@@ -81,7 +81,7 @@
         self._add(service_server.ServiceServer(settings=settings))
 
     async def stop(self) -> None:
-        """Stop every part that has started."""
+        """Stop the hosts and runners that have started."""
         if self._entry is not None:
             await self._entry.stop()
         for runner in self._runners:
@@ -90,7 +90,7 @@
         self._folder.cleanup()
 
     def _standin(
-        self, role: str, **what: typing.Any
+        self, role: str, **fields: typing.Any
     ) -> standin_settings.StandinSettings:
         return standin_settings.StandinSettings.model_validate(
             {
@@ -98,7 +98,7 @@
                 'role': role,
                 'zone': ZONE,
                 'announce_urls': [self.internal_url],
-                **what,
+                **fields,
             }
         )
 
--- a/limpetroute/cli/drain.py
+++ b/limpetroute/cli/drain.py
@@ -67,14 +67,14 @@
         path = f'/v1/operator/drains/{name}'
     answers = operator_call.ask(target, method, path)
     code = operator_call.explain_failures(answers)
-    known = any(item.body.get('known', True) for item in answers)
+    known = any(answer.body.get('known', True) for answer in answers)
     if code == exit_code.DONE and not known:
         print(f'no host knows {args["RUNNER"]!r}', file=sys.stderr)
         code = exit_code.NO
     if code == exit_code.DONE and wait_s and not args['--this-host']:
         code = _wait_until_idle(target, args['RUNNER'], wait_s)
     if args['--json']:
-        hosts = [{'url': item.url, **item.body} for item in answers]
+        hosts = [{'url': answer.url, **answer.body} for answer in answers]
         print(json.dumps({'hosts': hosts, 'exit_code': code}))
     elif code == exit_code.DONE:
         print(f'done on {len(answers)} hosts')
@@ -92,18 +92,18 @@
 def _wait_until_idle(
     target: operator_target.OperatorTarget, runner_id: str, wait_s: float
 ) -> int:
-    until_s = time.monotonic() + wait_s
+    deadline_s = time.monotonic() + wait_s
     while True:
         running = 0
-        for item in operator_call.ask(target, 'GET', '/v1/runners'):
-            for body in item.body.get('runners', []):
+        for answer in operator_call.ask(target, 'GET', '/v1/runners'):
+            for body in answer.body.get('runners', []):
                 if body['runner_id'] != runner_id:
                     continue
                 report = body.get('report') or {}
                 running = max(running, report.get('running', 0))
         if not running:
             return exit_code.DONE
-        if time.monotonic() >= until_s:
+        if time.monotonic() >= deadline_s:
             print(f'{running} still run on {runner_id}', file=sys.stderr)
             return exit_code.NO
         time.sleep(POLL_S)
--- a/limpetroute/cli/entry.py
+++ b/limpetroute/cli/entry.py
@@ -36,6 +36,6 @@
 
 
 def _print_ready(entry: server.EntryServer) -> None:
-    serving.say_ready(
+    serving.print_ready_line(
         f'ready: callers {entry.port}, internal {entry.internal_port}'
     )
--- a/limpetroute/cli/explain.py
+++ b/limpetroute/cli/explain.py
@@ -46,9 +46,9 @@
         print(f'no line names {args["ID"]!r}', file=sys.stderr)
         return exit_code.UNKNOWN
     if args['--json']:
-        print(json.dumps([one.fields for one in lines], indent=1))
+        print(json.dumps([line.fields for line in lines], indent=1))
     else:
-        rows = [[one.time, one.source, one.said] for one in lines]
+        rows = [[line.time, line.source, line.summary] for line in lines]
         table.show(['time', 'log', 'what'], rows)
         print(f'\n{story.cause()}')
     return exit_code.DONE if story.answered() else exit_code.NO
--- a/limpetroute/cli/file_check.py
+++ b/limpetroute/cli/file_check.py
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class FileCheck:
-    """What one file is, and each wrong field of it."""
+    """The kind of one file and a line for each error in it."""
 
     path: str
     kind: file_kind.FileKind | None
@@ -44,7 +44,7 @@
     kind: file_kind.FileKind, data: bytes, path: pathlib.Path
 ) -> pydantic.BaseModel | None:
     if kind is file_kind.FileKind.TRACE:
-        # Imported here: it brings the decisions along.
+        # Imported here because only traces need these modules.
         from limpetroute.replay import trace_error
         from limpetroute.replay import trace_reader
 
@@ -58,55 +58,59 @@
 
 
 def check_together(checks: list[FileCheck]) -> list[str]:
-    """Find names, addresses and zones that do not go together."""
-    lines = _repeats(checks)
-    zones = _zones(checks)
+    """Return a line for each conflict between files.
+
+    Conflicts are names or addresses used twice, and zones that no file
+    lists.
+    """
+    lines = _find_duplicates(checks)
+    zones = _collect_zones(checks)
     if not zones:
         return lines
-    for item in checks:
-        zone = getattr(item.body, 'zone', None)
+    for check in checks:
+        zone = getattr(check.body, 'zone', None)
         if zone is None or zone in zones:
             continue
         allowed = ', '.join(sorted(zones))
         lines.append(
-            f'{item.path}: zone: allowed is one of {allowed} (got {zone!r})'
+            f'{check.path}: zone: allowed is one of {allowed} (got {zone!r})'
         )
     return lines
 
 
-def _zones(checks: list[FileCheck]) -> set[str]:
+def _collect_zones(checks: list[FileCheck]) -> set[str]:
     found: set[str] = set()
-    for item in checks:
-        found.update(getattr(item.body, 'zones', ()))
+    for check in checks:
+        found.update(getattr(check.body, 'zones', ()))
     return found
 
 
-def _repeats(checks: list[FileCheck]) -> list[str]:
+def _find_duplicates(checks: list[FileCheck]) -> list[str]:
     lines = []
-    first: dict[tuple[str, str], str] = {}
-    for item in checks:
-        if item.body is None:
+    paths: dict[tuple[str, str], str] = {}
+    for check in checks:
+        if check.body is None:
             continue
-        for key in _claims(item):
-            if key in first:
+        for key in _unique_values(check):
+            if key in paths:
                 field, value = key
                 lines.append(
-                    f'{item.path}: {field}: {value} is taken by {first[key]}'
+                    f'{check.path}: {field}: {value} is taken by {paths[key]}'
                 )
                 continue
-            first[key] = item.path
+            paths[key] = check.path
     return lines
 
 
-def _claims(item: FileCheck) -> list[tuple[str, str]]:
-    """Return the names and addresses that only one file may have."""
+def _unique_values(check: FileCheck) -> list[tuple[str, str]]:
+    """Return fields and values that no other file may repeat."""
     found = []
     for field in ('host_id', 'runner_id', 'data_dir'):
-        value = getattr(item.body, field, None)
+        value = getattr(check.body, field, None)
         if value is not None:
             found.append((field, str(value)))
     for field in ('listen', 'internal_listen'):
-        value = getattr(item.body, field, None)
+        value = getattr(check.body, field, None)
         if not isinstance(value, listen_settings.ListenSettings):
             continue
         if value.port:
--- a/limpetroute/cli/file_kind.py
+++ b/limpetroute/cli/file_kind.py
@@ -1,4 +1,4 @@
-"""Tells which kind of file a JSON text is."""
+"""Determines the kind of a settings, manifest or trace file."""
 
 import enum
 import importlib
@@ -10,7 +10,7 @@
 
 
 class FileKind(enum.StrEnum):
-    """Files that ``limpetroute check`` knows."""
+    """Kinds of files that ``limpetroute check`` accepts."""
 
     ENTRY = 'entry'
     CONTROL = 'control'
@@ -22,7 +22,7 @@
 
 
 # Fields that only one kind of file has.
-TELLTALES = (
+DISTINCTIVE_FIELDS = (
     (FileKind.STANDIN, 'runner_id'),
     (FileKind.STANDIN, 'announce_urls'),
     (FileKind.CONTROL, 'data_dir'),
@@ -44,7 +44,7 @@
 
 
 def guess(path: pathlib.Path, data: bytes) -> FileKind | None:
-    """Guess the kind from the name and the fields."""
+    """Guess the kind from the file name's suffix and the fields."""
     if path.suffix == '.jsonl':
         return FileKind.TRACE
     try:
@@ -53,14 +53,14 @@
         return None
     if not isinstance(body, dict):
         return None
-    for kind, field in TELLTALES:
+    for kind, field in DISTINCTIVE_FIELDS:
         if field in body:
             return kind
     return None
 
 
 def model_of(kind: FileKind) -> type[pydantic.BaseModel]:
-    """Import the model of a kind only when a file of it is there."""
+    """Import and return the model of a kind, and no other model."""
     module_name, class_name = MODELS[kind]
     module = importlib.import_module(f'limpetroute.border.{module_name}')
     return typing.cast(type[pydantic.BaseModel], getattr(module, class_name))
--- a/limpetroute/cli/forward.py
+++ b/limpetroute/cli/forward.py
@@ -38,7 +38,7 @@
             settings=settings,
             dialect=http_dialect.HttpDialect(),
             ready_path=paths.READY,
-            read_seeds=serving.Rereading(
+            read_seeds=serving.ReloadedSettings(
                 model=forwarder_settings.ForwarderSettings,
                 path=path,
                 first=settings,
@@ -49,4 +49,4 @@
 
 
 def _print_ready(forwarder: server.ForwarderServer) -> None:
-    serving.say_ready(f'ready: callers {forwarder.port}')
+    serving.print_ready_line(f'ready: callers {forwarder.port}')
--- a/limpetroute/cli/main.py
+++ b/limpetroute/cli/main.py
@@ -60,11 +60,11 @@
 def main(argv: typing.Sequence[str] | None = None) -> int:
     """Run one command and return its exit code."""
     assert __doc__ is not None
-    words = list(sys.argv[1:] if argv is None else argv)
+    arguments = list(sys.argv[1:] if argv is None else argv)
     try:
         args = docopt.docopt(
             __doc__,
-            words,
+            arguments,
             version=f'limpetroute {limpetroute.__version__}',
             options_first=True,
         )
--- a/limpetroute/cli/operator_call.py
+++ b/limpetroute/cli/operator_call.py
@@ -1,4 +1,4 @@
-"""Asks every host the same and gathers the answers."""
+"""Sends the same request to every host and gathers the answers."""
 
 import asyncio
 import dataclasses
@@ -17,16 +17,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HostAnswer:
-    """What one host said.
+    """The answer of one host, or the reason why there is none.
 
     Parameters
     ----------
     url : str
-        The host's internal port.
+        URL of the host.
     status : int
         HTTP status, or 0 if there was no answer.
     body : dict
-        The answer, empty if there was none.
+        JSON object of the answer, empty if there is no usable answer.
     error : str
         Why there is no usable answer, or empty.
     """
@@ -40,21 +40,21 @@
 def ask(
     target: operator_target.OperatorTarget, method: str, path: str
 ) -> list[HostAnswer]:
-    """Ask all entry hosts at once."""
+    """Send a request to all entry hosts concurrently."""
     return asyncio.run(_ask_all(target, target.urls, method, path))
 
 
 def ask_control(
     target: operator_target.OperatorTarget, path: str
 ) -> list[HostAnswer]:
-    """Ask all control hosts at once."""
+    """Send a GET request to all control hosts concurrently."""
     return asyncio.run(_ask_all(target, target.control_urls, 'GET', path))
 
 
 def target_or_explain(
     args: typing.Mapping[str, typing.Any],
 ) -> operator_target.OperatorTarget | None:
-    """Read the shared options, or print every wrong one."""
+    """Read the shared options, or print the errors and return None."""
     try:
         return operator_target.from_args(args)
     except errors.InvalidInputError as exc:
@@ -67,13 +67,13 @@
 
 
 def explain_failures(answers: typing.Sequence[HostAnswer]) -> int:
-    """Print each host without an answer; return the exit code so far."""
+    """Print each host's error and return the resulting exit code."""
     code = exit_code.DONE
-    for item in answers:
-        if not item.error:
+    for answer in answers:
+        if not answer.error:
             continue
         code = exit_code.UNKNOWN
-        print(f'{item.url}: {item.error}', file=sys.stderr)
+        print(f'{answer.url}: {answer.error}', file=sys.stderr)
     return code
 
 
@@ -90,21 +90,21 @@
 async def _ask_one(
     target: operator_target.OperatorTarget, url: str, method: str, path: str
 ) -> HostAnswer:
-    got = await target.http.call(
+    response = await target.http.call(
         method=method, url=f'{url}{path}', timeout_s=TIMEOUT_S
     )
-    if isinstance(got, call_failed.CallFailed):
-        text = f'no answer ({got.kind}) {got.detail}'.rstrip()
+    if isinstance(response, call_failed.CallFailed):
+        text = f'no answer ({response.kind}) {response.detail}'.rstrip()
         return HostAnswer(url=url, error=text)
-    if got.status == 401:
+    if response.status == 401:
         return HostAnswer(
-            url=url, status=got.status, error='the token is not accepted'
+            url=url, status=response.status, error='the token is not accepted'
         )
     try:
-        body = got.json()
+        body = response.json()
     except ValueError as exc:
-        return HostAnswer(url=url, status=got.status, error=str(exc))
-    if not isinstance(body, dict) or got.status >= 500:
-        text = f'unexpected answer, status {got.status}'
-        return HostAnswer(url=url, status=got.status, error=text)
-    return HostAnswer(url=url, status=got.status, body=body)
+        return HostAnswer(url=url, status=response.status, error=str(exc))
+    if not isinstance(body, dict) or response.status >= 500:
+        text = f'unexpected answer, status {response.status}'
+        return HostAnswer(url=url, status=response.status, error=text)
+    return HostAnswer(url=url, status=response.status, body=body)
--- a/limpetroute/cli/operator_target.py
+++ b/limpetroute/cli/operator_target.py
@@ -1,4 +1,4 @@
-"""The hosts that an operator's command asks, and what it shows them."""
+"""The hosts that an operator command calls, and its credentials."""
 
 import dataclasses
 import pathlib
@@ -22,16 +22,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OperatorTarget:
-    """Internal ports to ask.
+    """The hosts to call and the HTTP client for the calls.
 
     Parameters
     ----------
     urls : tuple of str
-        Internal ports of entry hosts.
+        URLs of the entry hosts' internal ports.
     control_urls : tuple of str
-        Control hosts, where the settings name them.
+        URLs of control hosts; empty if the settings name none.
     http : Caller
-        Carries the token and the authority.
+        HTTP client with the token and the certificate authority.
     """
 
     urls: tuple[str, ...]
@@ -40,12 +40,14 @@
 
 
 def from_args(args: typing.Mapping[str, typing.Any]) -> OperatorTarget:
-    """Read the options that all operators' commands share.
+    """Read the options that all operator commands share.
 
     Raises
     ------
     InvalidInputError
-        If a URL, the settings or a file named is wrong.
+        If the settings, the token file or the authority file is wrong.
+    pydantic.ValidationError
+        If a URL is wrong.
     """
     if args['--settings'] is not None:
         return _from_settings(pathlib.Path(args['--settings']))
@@ -53,13 +55,13 @@
     token_file = args['--token-file']
     ca_file = args['--ca-file']
     try:
-        trust = credentials.load(
+        host_credentials = credentials.load(
             token_file=pathlib.Path(token_file) if token_file else None,
             ca_file=pathlib.Path(ca_file) if ca_file else None,
         )
     except credentials.CredentialsError as exc:
         raise errors.InvalidInputError(lines=[str(exc)]) from exc
-    return _target(urls.host, trust)
+    return _target(urls.host, host_credentials)
 
 
 def _from_settings(path: pathlib.Path) -> OperatorTarget:
@@ -74,13 +76,15 @@
 
 def _target(
     urls: typing.Sequence[str],
-    trust: credentials.Credentials,
+    host_credentials: credentials.Credentials,
     control_urls: typing.Sequence[str] = (),
 ) -> OperatorTarget:
     return OperatorTarget(
         urls=tuple(urls),
         control_urls=tuple(control_urls),
-        http=caller.Caller(tls=trust.client_tls, token=trust.token),
+        http=caller.Caller(
+            tls=host_credentials.client_tls, token=host_credentials.token
+        ),
     )
 
 
--- a/limpetroute/cli/replay.py
+++ b/limpetroute/cli/replay.py
@@ -60,7 +60,7 @@
 def _as_json(
     name: str, trace: trace_module.Trace, steps: list[replayer.Step]
 ) -> dict[str, typing.Any]:
-    shown = [
+    rows = [
         {
             'line': step.event.line,
             'at_s': step.event.at_s,
@@ -74,7 +74,7 @@
         'trace': name,
         'story': trace.story,
         'agrees': steps[-1].agrees,
-        'steps': shown,
+        'steps': rows,
     }
 
 
@@ -85,8 +85,8 @@
     for step in steps:
         event = step.event
         mark = 'ok' if step.agrees else 'DIFFERS'
-        who = f'{event.part} {event.name}'.rstrip()
-        print(f'  line {event.line} at {event.at_s:g} s, {who} {event.verb}')
+        part = f'{event.part} {event.name}'.rstrip()
+        print(f'  line {event.line} at {event.at_s:g} s, {part} {event.verb}')
         print(f'    expected {json.dumps(event.expected)}')
         print(f'    got      {json.dumps(step.got)}')
         print(f'    {mark}')
--- a/limpetroute/cli/request_story.py
+++ b/limpetroute/cli/request_story.py
@@ -1,4 +1,4 @@
-"""One request's log lines, and what they say of its end."""
+"""Explains the outcome of one request from its log lines."""
 
 import dataclasses
 import json
@@ -9,7 +9,7 @@
 GONE = 'caller gone'
 ANSWERED = 'answered'
 EXPIRED = 'no answer in time'
-# Fields that stand in every line, or name the request again.
+# Fields that every line has, or that repeat the request id.
 _COMMON = ('level', 'logger', 'message', 'time', 'request', 'taskName')
 
 _CAUSES = {
@@ -32,15 +32,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoryLine:
-    """One log line: when, from which log, and what it says."""
+    """One log line with its time and the log that it comes from."""
 
     time: str
     source: str
     fields: dict[str, typing.Any]
 
     @property
-    def said(self) -> str:
-        """The message and its own fields."""
+    def summary(self) -> str:
+        """The message and the fields that not every line has."""
         rest = [
             f'{name}={value}'
             for name, value in self.fields.items()
@@ -50,12 +50,12 @@
 
 
 class RequestStory:
-    """One request's log lines, and what they say of its end.
+    """Collects log lines of one request and explains its outcome.
 
     Parameters
     ----------
     request_id : str
-        The request.
+        Identifier of the request.
     """
 
     def __init__(self, *, request_id: str) -> None:
@@ -66,7 +66,7 @@
         return f'{type(self).__name__}(request_id={self._request_id!r})'
 
     def read(self, source: str, log: typing.Iterable[str]) -> None:
-        """Take a log's lines; what is not JSON is passed over."""
+        """Collect the request's lines from a log; skip lines without JSON."""
         for text in log:
             if self._request_id not in text:
                 continue
@@ -84,11 +84,11 @@
             self._lines.append(line)
 
     def lines(self) -> list[StoryLine]:
-        """Return the lines in order of time."""
+        """Return the lines sorted by time."""
         return sorted(self._lines, key=lambda line: line.time)
 
     def answered(self) -> bool:
-        """Return whether the caller had a runner's whole answer."""
+        """Return whether a runner's whole answer reached the caller."""
         return any(
             line.fields.get('result') == ANSWERED
             and line.fields.get('step') == 'relay'
@@ -96,39 +96,41 @@
         )
 
     def cause(self) -> str:
-        """Say in a sentence what became of the request."""
+        """Describe the outcome of the request in a few sentences."""
         sends = [
             line.fields
             for line in self.lines()
             if line.fields.get('message') == SENT
         ]
         if self.answered():
-            tries = len([one for one in sends if one['part'] != 'prefill'])
+            tries = len([send for send in sends if send['part'] != 'prefill'])
             return f'It was answered by a runner, at try {tries}.'
         messages = {line.fields.get('message') for line in self._lines}
         if GONE in messages:
-            return f'Its caller left. Before that: {_last(sends)}'
+            return (
+                f'Its caller left. Before that: {_describe_last_send(sends)}'
+            )
         for line in self.lines():
             if line.fields.get('message') != OWN_ANSWER:
                 continue
             status = line.fields['status']
             reason = line.fields['reason']
-            hint = _CAUSES.get(reason, _last(sends))
+            hint = _CAUSES.get(reason, _describe_last_send(sends))
             if reason == EXPIRED:
                 hint = (
                     "The route's timeout or the caller's deadline passed. "
                     f'{hint}'
                 )
             return f'It was answered {status}: {reason}. {hint}'
-        return f'No line tells of its end. {_last(sends)}'
+        return f'No line tells of its end. {_describe_last_send(sends)}'
 
 
-def _last(sends: list[dict[str, typing.Any]]) -> str:
+def _describe_last_send(sends: list[dict[str, typing.Any]]) -> str:
     if not sends:
         return 'Nothing was sent to a runner.'
-    one = sends[-1]
+    send = sends[-1]
     return (
-        f'The last send, {one["part"]}, went to {one["runner"]} at '
-        f'{one["address"]} and ended {one["result"]} after '
-        f'{one["took_ms"]} ms ({one["detail"] or "no detail"}).'
+        f'The last send, {send["part"]}, went to {send["runner"]} at '
+        f'{send["address"]} and ended {send["result"]} after '
+        f'{send["took_ms"]} ms ({send["detail"] or "no detail"}).'
     )
--- a/limpetroute/cli/requests.py
+++ b/limpetroute/cli/requests.py
@@ -56,10 +56,10 @@
     path = f'/v1/operator/requests{query}'
     answers = operator_call.ask(target, 'GET', path)
     found = []
-    for item in answers:
-        for row in item.body.get('requests', []):
-            found.append({'url': item.url, **row})
-    hidden = sum(item.body.get('not_shown', 0) for item in answers)
+    for answer in answers:
+        for row in answer.body.get('requests', []):
+            found.append({'url': answer.url, **row})
+    hidden = sum(answer.body.get('not_shown', 0) for answer in answers)
     if args['--json']:
         print(json.dumps({'requests': found, 'not_shown': hidden}))
     else:
--- a/limpetroute/cli/runners.py
+++ b/limpetroute/cli/runners.py
@@ -54,7 +54,7 @@
     if target is None:
         return exit_code.USAGE
     answers = operator_call.ask(target, 'GET', '/v1/runners')
-    answered = [item for item in answers if not item.error]
+    answered = [answer for answer in answers if not answer.error]
     found = _merge(answered)
     if args['--json']:
         shown = [{**body, 'known_to': count} for body, count in found.values()]
@@ -73,12 +73,12 @@
     answers: list[operator_call.HostAnswer],
 ) -> dict[str, tuple[dict[str, typing.Any], int]]:
     found: dict[str, tuple[dict[str, typing.Any], int]] = {}
-    for item in answers:
-        for body in item.body.get('runners', []):
+    for answer in answers:
+        for body in answer.body.get('runners', []):
             name = body['runner_id']
-            old, count = found.get(name, (body, 0))
-            # One host that holds it as leaving is enough to show it.
-            leaving = old['leaving'] or body['leaving']
+            previous, count = found.get(name, (body, 0))
+            # A runner is shown as leaving if at least one host marks it so.
+            leaving = previous['leaving'] or body['leaving']
             found[name] = ({**body, 'leaving': leaving}, count + 1)
     return dict(sorted(found.items()))
 
--- a/limpetroute/cli/serving.py
+++ b/limpetroute/cli/serving.py
@@ -20,13 +20,13 @@
 
 
 class Server(typing.Protocol):
-    """Something that serves until told to stop."""
+    """A server that runs from `start` to `stop`."""
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def stop(self) -> None:
-        """Finish what is in progress and end."""
+        """Finish work in progress and stop serving."""
 
 
 def load_or_explain(model: type[_Model], path: str) -> _Model | None:
@@ -42,23 +42,24 @@
 def ignore_hangups() -> None:
     """Keep SIGHUP from ending the process.
 
-    It says that the settings file has changed; the file is looked at
-    again whenever its content is needed.
+    Operators send SIGHUP after a change of the settings file. Servers
+    need no signal: they read the file again when they need its content.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-class Rereading(typing.Generic[_Model]):
-    """The settings file as it is now, read anew when it changes.
+class ReloadedSettings(typing.Generic[_Model]):
+    """Reads the settings file again when its content changes.
 
     Parameters
     ----------
     model : type
         Model of the settings.
     path : str
-        The file.
+        Path of the settings file.
     first : BaseModel
-        What was read at the start; kept while the file is unusable.
+        Settings read at the start, used until the file is read again.
+        While the file is invalid, the last valid settings stay in use.
     """
 
     def __init__(
@@ -66,40 +67,41 @@
     ) -> None:
         self._model = model
         self._path = pathlib.Path(path)
-        self._newest = first
+        self._settings = first
         self._data = b''
 
     def __repr__(self) -> str:
         return f'{type(self).__name__}(path={str(self._path)!r})'
 
     def seeds(self) -> list[str]:
-        """Return the seeds in the file."""
-        self._look()
-        return list(getattr(self._newest, 'seeds', []))
+        """Return the seeds in the last valid settings."""
+        self._reload_if_changed()
+        return list(getattr(self._settings, 'seeds', []))
 
-    def _look(self) -> None:
+    def _reload_if_changed(self) -> None:
         try:
             data = settings_file.read(self._path)
             if data == self._data:
                 return
             self._data = data
-            self._newest = settings_file.parse(
+            self._settings = settings_file.parse(
                 self._model, data, folder=self._path.parent
             )
         except errors.InvalidInputError as exc:
             LOG.error(
-                'settings cannot be read again; the last ones stay',
+                'settings cannot be read again; keeping the last valid ones',
                 extra={'reason': str(exc)},
             )
             return
         LOG.info('settings read', extra={'path': str(self._path)})
 
 
-def say_ready(text: str) -> None:
-    """Write the line that says which ports are open.
+def print_ready_line(text: str) -> None:
+    """Print the line that names the open ports.
 
-    In one call with its end: log lines are written to the same output
-    by another thread and may come between two.
+    The text and its newline are written in one call, because another
+    thread writes log lines to the same output and could write between
+    two calls.
     """
     sys.stdout.write(f'{text}\n')
     sys.stdout.flush()
@@ -135,8 +137,8 @@
     try:
         server.start()
     except OSError as exc:
-        # An address in use or not of this host: nothing serves, and the
-        # parts begun before it are ended again.
+        # The address is in use or does not belong to this host. Stop the
+        # parts of the server that have already started.
         print(f'cannot listen: {exc}', file=sys.stderr)
         await server.stop()
         return exit_code.USAGE
--- a/limpetroute/cli/standin.py
+++ b/limpetroute/cli/standin.py
@@ -40,4 +40,4 @@
 def _print_ready(
     runner: engine_server.EngineServer | service_server.ServiceServer,
 ) -> None:
-    serving.say_ready(f'ready: runner {runner.port}')
+    serving.print_ready_line(f'ready: runner {runner.port}')
--- a/limpetroute/cli/status.py
+++ b/limpetroute/cli/status.py
@@ -76,9 +76,9 @@
     code = operator_call.explain_failures([*entries, *controls])
     if code != exit_code.DONE:
         return code
-    if not all(item.body.get('ready') for item in entries):
+    if not all(answer.body.get('ready') for answer in entries):
         return exit_code.NO
-    if not all(_in_touch(item.body) for item in controls):
+    if not all(_in_touch(answer.body) for answer in controls):
         return exit_code.NO
     return exit_code.DONE
 
@@ -87,41 +87,43 @@
     answers: list[operator_call.HostAnswer],
 ) -> list[dict[str, typing.Any]]:
     return [
-        {'url': item.url, 'error': item.error or None, **item.body}
-        for item in answers
+        {'url': answer.url, 'error': answer.error or None, **answer.body}
+        for answer in answers
     ]
 
 
 def _in_touch(body: dict[str, typing.Any]) -> bool:
     groups = body.get('groups', [])
-    return not body.get('failure') and all(one['in_touch'] for one in groups)
+    return not body.get('failure') and all(
+        group['in_touch'] for group in groups
+    )
 
 
-def _state(item: operator_call.HostAnswer) -> str:
-    return 'no answer' if item.error else 'answers'
+def _state(answer: operator_call.HostAnswer) -> str:
+    return 'no answer' if answer.error else 'answers'
 
 
 def _print_entries(answers: list[operator_call.HostAnswer]) -> None:
     rows = []
-    for item in answers:
-        values = [item.body.get(field) for field in FIELDS]
-        rows.append([item.url, _state(item), *values])
+    for answer in answers:
+        values = [answer.body.get(field) for field in FIELDS]
+        rows.append([answer.url, _state(answer), *values])
     titles = [field.replace('_', ' ') for field in FIELDS]
     table.show(['url', 'state', *titles], rows)
 
 
 def _print_controls(answers: list[operator_call.HostAnswer]) -> None:
     rows = []
-    for item in answers:
-        body = item.body
+    for answer in answers:
+        body = answer.body
         groups = body.get('groups', [])
-        leads = [str(one['group']) for one in groups if _leads(one)]
+        leads = [str(group['group']) for group in groups if _leads(group)]
         manifest = body.get('manifest') or {}
-        claims = [one['unsettled_claims'] for one in groups]
+        claims = [group['unsettled_claims'] for group in groups]
         rows.append(
             [
-                item.url,
-                _state(item),
+                answer.url,
+                _state(answer),
                 body.get('host_id'),
                 body.get('zone'),
                 ', '.join(leads) or None,
--- a/limpetroute/cli/submit.py
+++ b/limpetroute/cli/submit.py
@@ -65,31 +65,33 @@
             print('--control: no address given', file=sys.stderr)
         return exit_code.USAGE
     try:
-        trust = credentials.load(
+        host_credentials = credentials.load(
             token_file=_path(args['--token-file']),
             ca_file=_path(args['--ca-file']),
         )
     except credentials.CredentialsError as exc:
         print(exc, file=sys.stderr)
         return exit_code.USAGE
-    http = caller.Caller(tls=trust.client_tls, token=trust.token)
+    http = caller.Caller(
+        tls=host_credentials.client_tls, token=host_credentials.token
+    )
     client = control_client.ControlClient(urls=urls, http=http)
-    got = asyncio.run(_submit(body, client, wait_s, timeout_s))
-    return _show(body, got, as_json=args['--json'])
+    result = asyncio.run(_submit(body, client, wait_s, timeout_s))
+    return _show(body, result, as_json=args['--json'])
 
 
-def _path(word: str | None) -> pathlib.Path | None:
-    return pathlib.Path(word) if word else None
+def _path(text: str | None) -> pathlib.Path | None:
+    return pathlib.Path(text) if text else None
 
 
-def _seconds(name: str, word: str) -> float | None:
+def _seconds(name: str, text: str) -> float | None:
     try:
-        value = float(word)
+        value = float(text)
     except ValueError:
         value = -1.0
     if 0 <= value <= 3600:
         return value
-    print(f'{name}: {word!r} is not 0 to 3600 seconds', file=sys.stderr)
+    print(f'{name}: {text!r} is not 0 to 3600 seconds', file=sys.stderr)
     return None
 
 
@@ -109,19 +111,19 @@
 
 def _show(
     body: manifest_module.ManifestBody,
-    got: control_client.Answered
+    result: control_client.Answered
     | control_client.NotRun
     | control_client.Unknown,
     *,
     as_json: bool,
 ) -> int:
-    if isinstance(got, control_client.Answered):
-        answer = got.body
+    if isinstance(result, control_client.Answered):
+        answer = result.body
     else:
         name = 'not_run'
-        if isinstance(got, control_client.Unknown):
+        if isinstance(result, control_client.Unknown):
             name = 'unknown'
-        answer = {'outcome': name, 'reason': got.reason}
+        answer = {'outcome': name, 'reason': result.reason}
     if as_json:
         print(json.dumps({**answer, 'number': body.number}))
     else:
--- a/limpetroute/cli/table.py
+++ b/limpetroute/cli/table.py
@@ -1,4 +1,4 @@
-"""Prints a table for people."""
+"""Prints a table to the terminal."""
 
 import typing
 
@@ -7,8 +7,9 @@
     columns: typing.Sequence[str],
     rows: typing.Sequence[typing.Sequence[typing.Any]],
 ) -> None:
-    """Print rows under their columns; None shows as a dash."""
-    # Imported here: it costs more than the rest of the command.
+    """Print rows under their columns; None is shown as a dash."""
+    # Imported here because importing rich takes longer than the rest of
+    # a command.
     from rich import box
     from rich import console
     from rich import table
--- a/tests/cli/commands.py
+++ b/tests/cli/commands.py
@@ -13,25 +13,25 @@
 from tests.whole_path import processes
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-END_S = 30
+TIMEOUT_S = 30
 ENVIRONMENT = {**os.environ, 'PYTHONPATH': str(ROOT)}
 
 
 def run(*args, cwd=ROOT):
     """Run a command to its end; return its code, stdout and stderr."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-m', 'limpetroute', *map(str, args)],
         cwd=cwd,
         env=ENVIRONMENT,
         capture_output=True,
         text=True,
-        timeout=END_S,
+        timeout=TIMEOUT_S,
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 def run_here(*args):
-    """Run a command in this process; cheaper where many are run."""
+    """Run a command in this process, which is faster than `run`."""
     out = io.StringIO()
     err = io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
@@ -40,7 +40,7 @@
 
 
 class Started:
-    """A daemon started by its command."""
+    """A server process started by its command."""
 
     def __init__(self, *args, log, cwd=ROOT, program=None):
         program = program or [sys.executable, '-m', 'limpetroute']
@@ -71,7 +71,7 @@
     def stop(self, number=signal.SIGTERM):
         if self._popen.poll() is None:
             self._popen.send_signal(number)
-        code = self._popen.wait(timeout=END_S)
+        code = self._popen.wait(timeout=TIMEOUT_S)
         self._popen.stdout.close()
         self._log.close()
         return code
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -21,16 +21,16 @@
 def _check(tmp_path, capsys, *bodies, options=()):
     (tmp_path / 'token').write_text('a' * 16)
     names = []
-    for place, body in enumerate(bodies):
+    for index, body in enumerate(bodies):
         text = body if isinstance(body, str) else json.dumps(body)
-        path = tmp_path / f'{place}.json'
+        path = tmp_path / f'{index}.json'
         path.write_text(text)
         names.append(str(path))
     code = main.main(['check', '--json', *options, *names])
-    shown = json.loads(capsys.readouterr().out)
-    lines = [line for item in shown['files'] for line in item['errors']]
-    kinds = [item['kind'] for item in shown['files']]
-    return code, lines, kinds, shown['together']
+    output = json.loads(capsys.readouterr().out)
+    lines = [line for item in output['files'] for line in item['errors']]
+    kinds = [item['kind'] for item in output['files']]
+    return code, lines, kinds, output['together']
 
 
 @pytest.mark.parametrize(
@@ -42,9 +42,9 @@
         (MANIFEST, 'manifest'),
     ],
 )
-def test_kinds_are_told_apart(tmp_path, capsys, body, kind):
-    got = _check(tmp_path, capsys, body)
-    assert got == (0, [], [kind], [])
+def test_kind_is_guessed_from_the_fields(tmp_path, capsys, body, kind):
+    result = _check(tmp_path, capsys, body)
+    assert result == (0, [], [kind], [])
 
 
 @pytest.mark.parametrize(
@@ -118,7 +118,7 @@
         ('{"zones": [', '(whole)', 'kind not known'),
     ],
 )
-def test_each_wrong_field_is_named(tmp_path, capsys, body, path, allowed):
+def test_each_wrong_field_is_reported(tmp_path, capsys, body, path, allowed):
     code, lines, _, _ = _check(tmp_path, capsys, body)
     assert code == 2
     assert any(
@@ -126,7 +126,7 @@
     ), lines
 
 
-def test_all_errors_come_at_once(tmp_path, capsys):
+def test_all_errors_are_reported_at_once(tmp_path, capsys):
     body = {'zones': ['evere'], 'zone': 'mars', 'listen': {'port': 'x'}}
     _, lines, _, _ = _check(tmp_path, capsys, body)
     paths = [line.split(':')[0] for line in lines]
@@ -160,8 +160,8 @@
 def test_examples_can_be_used(capsys, deployment):
     names = [str(path) for path in (EXAMPLES / deployment).glob('*.json')]
     code = main.main(['check', '--json', *names])
-    shown = json.loads(capsys.readouterr().out)
-    kinds = [item['kind'] for item in shown['files']]
+    output = json.loads(capsys.readouterr().out)
+    kinds = [item['kind'] for item in output['files']]
     runners = {'federation': 6, 'kleingarten': 8}[deployment]
     assert code == 0
     assert kinds.count('entry') == 7
--- a/tests/cli/test_demo.py
+++ b/tests/cli/test_demo.py
@@ -8,29 +8,29 @@
 
 
 def _curl(line):
-    """Send what a curl command line would send; return the answer."""
+    """Send the request of a curl command line; return the response."""
     words = shlex.split(line)
     assert words[0] == 'curl'
     url = next(word for word in words if word.startswith('http'))
     header = words[words.index('-H') + 1].split(': ')
     data = words[words.index('-d') + 1].encode()
-    call = urllib.request.Request(url, data=data, headers=dict([header]))
-    with urllib.request.urlopen(call, timeout=20) as got:
-        return got.read().decode()
+    request = urllib.request.Request(url, data=data, headers=dict([header]))
+    with urllib.request.urlopen(request, timeout=20) as response:
+        return response.read().decode()
 
 
-def test_lines_of_the_demo_work_when_pasted(tmp_path):
+def test_commands_printed_by_the_demo_work(tmp_path):
     process = commands.Started('demo', '--port', '0', log=tmp_path / 'log')
     try:
         process.ports()
         curl, status, submit = [process.line() for _ in range(3)]
         _, *words = shlex.split(status)
-        until_s = time.monotonic() + 20
+        deadline_s = time.monotonic() + 20
         while True:
             code, out, err = commands.run(*words, '--json')
             if code == 0 and json.loads(out)['hosts'][0]['runners'] == 3:
                 break
-            assert time.monotonic() < until_s, err
+            assert time.monotonic() < deadline_s, err
         assert _curl(curl).endswith('data: [DONE]\n\n')
         code, _, err = commands.run(*shlex.split(submit)[1:])
         assert (code, err) == (0, '')
--- a/tests/cli/test_dist.py
+++ b/tests/cli/test_dist.py
@@ -21,13 +21,13 @@
 
 
 def _environment(root):
-    kept = {key: os.environ[key] for key in ('PATH', 'HOME')}
-    return {**kept, 'SHIV_ROOT': str(root)}
+    variables = {key: os.environ[key] for key in ('PATH', 'HOME')}
+    return {**variables, 'SHIV_ROOT': str(root)}
 
 
 def _run(shipped, root, *args, preexec_fn=None):
-    # -S and -I: nothing of this environment may stand in for a library
-    # that was left out of the file.
+    # -S and -I keep Python from importing a library of this environment
+    # that is missing in the shipped file.
     return subprocess.run(
         [sys.executable, '-I', '-S', shipped, *args],
         env=_environment(root),
@@ -72,13 +72,13 @@
     )
     try:
         (port,) = process.ports()
-        call = urllib.request.Request(
+        request = urllib.request.Request(
             f'http://127.0.0.1:{port}/v1/completions',
             data=json.dumps({'model': 'review', 'prompt': 'p'}).encode(),
         )
-        with urllib.request.urlopen(call, timeout=20) as got:
-            assert got.headers['Limpetroute-Outcome'] == 'completed'
-        # The count itself is tried on this process, which has a child.
+        with urllib.request.urlopen(request, timeout=20) as response:
+            assert response.headers['Limpetroute-Outcome'] == 'completed'
+        # This process has a child, which shows that _children finds one.
         assert _children(os.getpid())
         assert _children(process.pid) == []
     finally:
@@ -88,35 +88,35 @@
 
 def test_shipped_file_checks_the_examples(shipped, tmp_path):
     names = (commands.ROOT / 'examples' / 'federation').glob('*.json')
-    done = _run(shipped, tmp_path / 'root', 'check', *sorted(names))
-    assert (done.returncode, done.stderr) == (0, '')
+    completed = _run(shipped, tmp_path / 'root', 'check', *sorted(names))
+    assert (completed.returncode, completed.stderr) == (0, '')
 
 
-def test_full_disk_is_said_and_leaves_nothing_half(shipped, tmp_path):
-    """A host's disk is full when the new version is first started.
+def test_full_disk_is_reported_and_leaves_no_partial_folder(shipped, tmp_path):
+    """The disk is full when the shipped file is started first.
 
-    The unpacking breaks off in the middle of a library. Once there is
-    room again, the next start must not use the half folder.
+    Unpacking fails in the middle of a library. When the disk has space
+    again, the next start must not use the partly unpacked folder.
     """
 
-    def no_room():
+    def limit_file_size():
         resource.setrlimit(resource.RLIMIT_FSIZE, (1 << 20, 1 << 20))
 
     root = tmp_path / 'root'
-    done = _run(shipped, root, '--version', preexec_fn=no_room)
-    assert done.returncode == 2
-    assert f'cannot unpack into {root}' in done.stderr
-    assert 'Traceback' not in done.stderr
+    completed = _run(shipped, root, '--version', preexec_fn=limit_file_size)
+    assert completed.returncode == 2
+    assert f'cannot unpack into {root}' in completed.stderr
+    assert 'Traceback' not in completed.stderr
     assert _run(shipped, root, '--version').returncode == 0
 
 
-def test_unusable_folder_is_said(shipped):
-    done = _run(shipped, pathlib.Path('/proc/nowhere'), '--version')
-    assert done.returncode == 2
-    assert 'set SHIV_ROOT' in done.stderr
+def test_unusable_folder_is_reported(shipped):
+    completed = _run(shipped, pathlib.Path('/proc/nowhere'), '--version')
+    assert completed.returncode == 2
+    assert 'set SHIV_ROOT' in completed.stderr
 
 
-def test_pip_install_gives_the_command(tmp_path):
+def test_pip_install_provides_the_command(tmp_path):
     for name in ('pyproject.toml', 'README.md'):
         shutil.copy(commands.ROOT / name, tmp_path)
     shutil.copytree(commands.ROOT / 'limpetroute', tmp_path / 'limpetroute')
@@ -136,11 +136,11 @@
         ],
         check=True,
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [tmp_path / 'installed' / 'bin' / 'limpetroute', '--version'],
         env={**os.environ, 'PYTHONPATH': str(tmp_path / 'installed')},
         cwd=tmp_path / 'installed',
         capture_output=True,
         text=True,
     )
-    assert done.stdout.startswith('limpetroute ')
+    assert completed.stdout.startswith('limpetroute ')
--- a/tests/cli/test_examples.py
+++ b/tests/cli/test_examples.py
@@ -6,27 +6,25 @@
 from tests.cli import commands
 
 
-# The other deployment's files are checked by test_check alone: a start
-# takes a dozen seconds, and its files come from the same mould.
 def _wait(*args, until, seconds):
-    """Repeat a command until its code and JSON are as wanted."""
-    until_s = time.monotonic() + seconds
+    """Repeat a command until `until` accepts its code and JSON."""
+    deadline_s = time.monotonic() + seconds
     while True:
         code, out, err = commands.run(*args, '--json')
         if until(code, json.loads(out)):
             return
-        assert time.monotonic() < until_s, (code, out, err)
+        assert time.monotonic() < deadline_s, (code, out, err)
         time.sleep(0.2)
 
 
 def _post(address, path, body, headers=None):
-    call = urllib.request.Request(
+    request = urllib.request.Request(
         f'http://{address}:8080{path}',
         data=json.dumps(body).encode(),
         headers={'Content-Type': 'application/json', **(headers or {})},
     )
-    with urllib.request.urlopen(call, timeout=20) as got:
-        return got.headers['Limpetroute-Outcome'], got.read()
+    with urllib.request.urlopen(request, timeout=20) as response:
+        return response.headers['Limpetroute-Outcome'], response.read()
 
 
 def _address(folder, name):
@@ -34,19 +32,19 @@
     return json.loads(path.read_text())['listen']['address']
 
 
-def _use(folder):
-    """Do once what the deployment is for."""
+def _use_deployment(folder):
+    """Submit a manifest, complete requests and repeat a keyed request."""
     settings = folder / 'entry-1.json'
     options = ['--settings', settings]
     _wait(
         'runners',
         *options,
-        until=lambda code, shown: (code, len(shown['runners'])) == (0, 6),
+        until=lambda code, output: (code, len(output['runners'])) == (0, 6),
         seconds=20,
     )
-    # A host takes no work before what its peers may have promised in an
-    # earlier life has lapsed, one lease after the start.
-    _wait('status', *options, until=lambda code, shown: code == 0, seconds=40)
+    # A host takes no work for one lease after its start, until promises
+    # that hosts may have given before a restart have expired.
+    _wait('status', *options, until=lambda code, output: code == 0, seconds=40)
     urls = json.loads(settings.read_text())['control_urls']
     code, _, err = commands.run(
         'submit',
@@ -58,10 +56,10 @@
     )
     assert (code, err) == (0, '')
     _, out, _ = commands.run('status', *options, '--json')
-    shown = json.loads(out)
-    assert {item['manifest_number'] for item in shown['hosts']} == {1}
-    leaders = {item['groups'][0]['leader_host'] for item in shown['control']}
-    assert (len(shown['control']), len(leaders)) == (3, 1)
+    output = json.loads(out)
+    assert {item['manifest_number'] for item in output['hosts']} == {1}
+    leaders = {item['groups'][0]['leader_host'] for item in output['control']}
+    assert (len(output['control']), len(leaders)) == (3, 1)
     _, out, _ = commands.run('status', *options)
     assert 'unsettled claims' in out
     for name in ('entry-1', 'entry-7'):
@@ -80,16 +78,18 @@
         )
         for name in ('entry-2', 'entry-3')
     ]
-    # Two hosts, one key: the confirmation ran once, and both told it.
+    # Two hosts response the same key: the confirmation ran once, and both
+    # hosts returned its answer.
     outcomes = [outcome for outcome, _ in replies]
     assert outcomes == ['completed', 'already_delivered']
     assert replies[0][1] == replies[1][1]
 
 
 def test_whole_deployment_from_its_examples(tmp_path):
-    """The other deployment's files are checked by test_check alone.
+    """Starts and uses the federation deployment.
 
-    A start takes a dozen seconds, and both come from the same mould.
+    The other deployment has files of the same form and takes a dozen
+    seconds to start, so only test_check covers its files.
     """
     folder = tmp_path / 'examples' / 'federation'
     shutil.copytree(commands.ROOT / 'examples' / 'federation', folder)
@@ -107,7 +107,7 @@
             )
         for process in started:
             process.ports()
-        _use(folder)
+        _use_deployment(folder)
     finally:
         codes = [process.stop() for process in reversed(started)]
     assert codes == [0] * len(started)
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""An on-call engineer has an id and the logs, and asks what happened."""
+"""Explains the outcome of a request from its id and the logs."""
 
 import json
 
@@ -28,7 +28,7 @@
     return code, capsys.readouterr().out
 
 
-def test_a_refusal_is_explained_and_in_order(tmp_path, capsys):
+def test_refusal_is_explained_with_lines_in_time_order(tmp_path, capsys):
     code, out = explain(
         tmp_path,
         capsys,
@@ -53,7 +53,7 @@
     assert 'went to i-1 at 10.0.0.1:80 and ended broken after 40 ms' in out
 
 
-def test_an_answered_request_is_said_to_be(tmp_path, capsys):
+def test_answered_request_is_reported(tmp_path, capsys):
     good = {**SENT, 'result': 'answered', 'step': 'relay'}
     code, out = explain(tmp_path, capsys, line('1', 'sent', **good))
     assert code == 0
--- a/tests/cli/test_help.py
+++ b/tests/cli/test_help.py
@@ -7,11 +7,11 @@
 
 @pytest.mark.parametrize('name', main.COMMANDS)
 def test_each_command_has_help_with_an_example(capsys, name):
-    with pytest.raises(SystemExit) as ended:
+    with pytest.raises(SystemExit) as exit_info:
         main.main([name, '--help'])
-    assert not ended.value.code
-    shown = capsys.readouterr().out
-    assert f'limpetroute {name}' in shown.partition('Example')[2]
+    assert not exit_info.value.code
+    output = capsys.readouterr().out
+    assert f'limpetroute {name}' in output.partition('Example')[2]
 
 
 @pytest.mark.parametrize(
--- a/tests/cli/test_operator_commands.py
+++ b/tests/cli/test_operator_commands.py
@@ -65,32 +65,32 @@
         self._started.append(process)
         return process.ports()
 
-    def ask(self, *args, ca='ca.pem'):
+    def run_command(self, *args, ca='ca.pem'):
         """Run an operator's command; return its code, JSON and stderr."""
         options = [*self.options, '--ca-file', TLS / ca]
         code, out, err = commands.run_here(*args, '--json', *options)
         return code, json.loads(out), err
 
     def wait_for_runners(self, count):
-        until_s = time.monotonic() + 20
-        while time.monotonic() < until_s:
-            _, shown, _ = self.ask('runners')
-            if len(shown['runners']) == count:
+        deadline_s = time.monotonic() + 20
+        while time.monotonic() < deadline_s:
+            _, output, _ = self.run_command('runners')
+            if len(output['runners']) == count:
                 return
-        raise AssertionError(shown)
+        raise AssertionError(output)
 
     def complete(self, tokens):
         body = {'model': 'review', 'prompt': 'p', 'max_tokens': tokens}
-        call = urllib.request.Request(
+        request = urllib.request.Request(
             f'https://127.0.0.1:{self.port}/v1/completions',
             data=json.dumps(body).encode(),
         )
         try:
             trusted = ssl.create_default_context(cafile=TLS / 'ca.pem')
             with urllib.request.urlopen(
-                call, timeout=30, context=trusted
-            ) as got:
-                return got.status
+                request, timeout=30, context=trusted
+            ) as response:
+                return response.status
         except urllib.error.HTTPError as exc:
             return exc.code
 
@@ -100,12 +100,12 @@
 
 @pytest.fixture(scope='module')
 def fleet(tmp_path_factory):
-    found = Fleet(tmp_path_factory.mktemp('fleet'))
+    started = Fleet(tmp_path_factory.mktemp('fleet'))
     try:
-        found.wait_for_runners(2)
-        yield found
+        started.wait_for_runners(2)
+        yield started
     finally:
-        codes = found.stop()
+        codes = started.stop()
     assert codes == [0, 0, 0]
 
 
@@ -114,8 +114,8 @@
 
 
 def test_status(fleet):
-    code, shown, _ = fleet.ask('status')
-    host = shown['hosts'][0]
+    code, output, _ = fleet.run_command('status')
+    host = output['hosts'][0]
     assert code == 0
     assert (host['host_id'], host['ready'], host['runners']) == ('e1', True, 2)
 
@@ -133,52 +133,52 @@
         target=lambda: answers.append(fleet.complete(60))
     )
     thread.start()
-    shown = {'requests': []}
-    until_s = time.monotonic() + 20
-    while not shown['requests'] and time.monotonic() < until_s:
-        _, shown, _ = fleet.ask('requests')
+    output = {'requests': []}
+    deadline_s = time.monotonic() + 20
+    while not output['requests'] and time.monotonic() < deadline_s:
+        _, output, _ = fleet.run_command('requests')
     thread.join()
     assert answers == [200]
-    assert shown['requests'][0]['outcome'] is None
-    assert 'prompt' not in json.dumps(shown)
-    _, shown, _ = fleet.ask('requests', '--all')
-    outcomes = {row['outcome'] for row in shown['requests']}
+    assert output['requests'][0]['outcome'] is None
+    assert 'prompt' not in json.dumps(output)
+    _, output, _ = fleet.run_command('requests', '--all')
+    outcomes = {row['outcome'] for row in output['requests']}
     assert outcomes == {'completed'}
 
 
 def test_drained_runner_gets_no_new_work(fleet):
     """An operator drains the one decode runner before a repair.
 
-    The runner goes on announcing itself as free. New requests must be
-    turned away, not sent there; after --undo they are taken again.
+    The runner keeps announcing free slots. New requests must be refused
+    and not sent to the runner; after --undo they are accepted again.
     """
-    code, _, _ = fleet.ask('drain', 'decode', '--wait', '10')
+    code, _, _ = fleet.run_command('drain', 'decode', '--wait', '10')
     assert code == 0
-    _, shown, _ = fleet.ask('runners')
-    leaving = {row['runner_id']: row['leaving'] for row in shown['runners']}
+    _, output, _ = fleet.run_command('runners')
+    leaving = {row['runner_id']: row['leaving'] for row in output['runners']}
     assert leaving == {'prefill': False, 'decode': True}
-    # Two heartbeats later the mark must still stand.
+    # The drain must outlast two heartbeats of the runner.
     time.sleep(1)
     assert fleet.complete(2) == 503
-    assert fleet.ask('drain', 'decode', '--undo')[0] == 0
-    until_s = time.monotonic() + 20
+    assert fleet.run_command('drain', 'decode', '--undo')[0] == 0
+    deadline_s = time.monotonic() + 20
     while fleet.complete(2) != 200:
-        assert time.monotonic() < until_s
+        assert time.monotonic() < deadline_s
 
 
 def test_drain_of_an_unknown_runner(fleet):
-    code, _, err = fleet.ask('drain', 'nobody')
+    code, _, err = fleet.run_command('drain', 'nobody')
     assert code == 1
     assert "no host knows 'nobody'" in err
-    assert fleet.ask('drain', 'nobody', '--undo')[0] == 0
+    assert fleet.run_command('drain', 'nobody', '--undo')[0] == 0
 
 
 def test_drained_host_takes_no_new_work(fleet):
-    assert fleet.ask('drain', '--this-host')[0] == 0
+    assert fleet.run_command('drain', '--this-host')[0] == 0
     assert fleet.complete(1) == 503
-    assert fleet.ask('status')[0] == 1
-    assert fleet.ask('drain', '--this-host', '--undo')[0] == 0
-    assert fleet.ask('status')[0] == 0
+    assert fleet.run_command('status')[0] == 1
+    assert fleet.run_command('drain', '--this-host', '--undo')[0] == 0
+    assert fleet.run_command('status')[0] == 0
 
 
 @pytest.mark.parametrize(
@@ -189,30 +189,30 @@
     path = tmp_path / 'token'
     path.write_text(token or '')
     options = ['--token-file', path] if token else []
-    got, _, err = commands.run(
+    exit_code, _, err = commands.run(
         'status', '--host', fleet.url, '--ca-file', TLS / 'ca.pem', *options
     )
-    assert got == code
+    assert exit_code == code
     assert ('the token is not accepted' in err) == (code == 3)
 
 
-def test_another_authority_is_refused(fleet):
-    code, _, err = fleet.ask('status', ca='other-ca.pem')
+def test_certificate_of_another_authority_is_refused(fleet):
+    code, _, err = fleet.run_command('status', ca='other-ca.pem')
     assert code == 3
     assert 'certificate verify failed' in err
 
 
-def test_expired_certificate_is_named(tmp_path):
-    found = Fleet(tmp_path, cert='expired.pem')
+def test_expired_certificate_is_reported(tmp_path):
+    expired = Fleet(tmp_path, cert='expired.pem')
     try:
-        code, _, err = found.ask('status')
+        code, _, err = expired.run_command('status')
     finally:
-        found.stop()
+        expired.stop()
     assert code == 3
     assert 'certificate has expired' in err
 
 
-def test_nobody_answers():
+def test_unreachable_host_is_reported():
     code, _, err = commands.run_here('status', '--host', 'http://127.0.0.1:9')
     assert code == 3
     assert 'http://127.0.0.1:9: no answer' in err
@@ -224,7 +224,7 @@
     assert 'host.0: allowed is http://IP:PORT' in err
 
 
-def test_port_in_use_is_said(fleet, tmp_path):
+def test_port_in_use_is_reported(fleet, tmp_path):
     path = tmp_path / 'entry.json'
     settings = json.loads((fleet.folder / 'entry.json').read_text())
     settings['listen'] = {'port': fleet.port}
@@ -235,8 +235,8 @@
     assert 'cannot listen' in err
 
 
-def test_https_without_an_authority_is_not_plain_text(fleet):
-    """An operator forgets --ca-file; the token must not go out in clear."""
+def test_https_without_a_ca_file_fails(fleet):
+    """Without --ca-file the token must not be sent in plain text."""
     code, _, err = commands.run_here('status', *fleet.options)
     assert code == 3
     assert 'certificate verify failed' in err
