--- a/tests/cli/test_examples.py
+++ b/tests/cli/test_examples.py
@@ -78,7 +78,7 @@
         )
         for name in ('entry-2', 'entry-3')
     ]
-    # Two hosts response the same key: the confirmation ran once, and both
+    # Both hosts received the same key: the confirmation ran once, and both
     # hosts returned its answer.
     outcomes = [outcome for outcome, _ in replies]
     assert outcomes == ['completed', 'already_delivered']
