--- a/limpetroute/replay/group_player.py
+++ b/limpetroute/replay/group_player.py
@@ -169,7 +169,7 @@
                 self._send(host, sends)
 
     def _replace_lost(self) -> None:
-        """Propose that the leader replaces a host's lost replica.
+        """Propose membership changes that replace a host's lost replica.
 
         A host that lost its disk runs under a new replica id.
         """
--- a/limpetroute/replay/guard_player.py
+++ b/limpetroute/replay/guard_player.py
@@ -9,8 +9,8 @@
 class GuardPlayer:
     """Records sends and refusals of one request.
 
-    When the router gives up, the guard decides whether the caller may
-    get the answer that the request did not run.
+    ``give_up`` returns 'not_run' if the guard proves that the request
+    did not run, and 'unknown' otherwise.
     """
 
     def __init__(self) -> None:
--- a/limpetroute/replay/replica_host.py
+++ b/limpetroute/replay/replica_host.py
@@ -81,9 +81,9 @@
     ) -> tuple[
         list[agreement.Envelope], agreement.Appended | agreement.Refused | None
     ]:
-        """Handle an event; return messages to send and a proposal's result.
+        """Handle an event; return messages to send and the proposal result.
 
-        Writes are saved and confirmed to the replica at once.
+        The replica's writes are saved and confirmed at once.
         """
         assert self.replica is not None
         sends: list[agreement.Envelope] = []
